--- a/src/policy/counter_health.hpp
+++ b/src/policy/counter_health.hpp
@@ -1,7 +1,7 @@
-// How well the counter service answers, and so how much it may be called.
+// The health of the counter service, which limits how often this gateway calls it.
 //
-// While it is silent, rejecting or unreachable no calls are made, for a time that doubles with each failure.
-// While it answers slowly only a share of the requests that would call it do so.
+// While the counter is silent, unreachable or rejects calls, no calls are made for a back-off time that
+// doubles with each failure. While it answers slowly, only a share of the requests that need it call it.
 #pragma once
 #include "policy/types.hpp"
 
@@ -9,16 +9,18 @@
 
 class CounterHealth {
  public:
-  // `timeout`: after which a call is given up.
+  // `timeout`: time after which an unanswered call counts as failed.
   explicit CounterHealth(Duration timeout) : timeout_(timeout) {}
 
-  // A call sent at `sent_at` has ended.
+  // Records the result of a call that was sent at `sent_at` and ended at `now`.
   void record(Outcome outcome, Duration sent_at, Duration now);
 
+  // Whether calls may be made at `now`.
   bool available(Duration now) const { return now >= unavailable_until_; }
-  // Of the requests for which the counter could be called, the share that do so.
+  // Of the requests that need the counter, the share that may call it, from 1/64 to 1.
   double call_share() const { return call_share_; }
   void set_call_share(double share) { call_share_ = share; }
+  // The time without calls after the last failure; zero while the counter answers.
   Duration backoff() const { return backoff_; }
   Duration unavailable_until() const { return unavailable_until_; }
 
--- a/src/policy/exhausted_pools.cpp
+++ b/src/policy/exhausted_pools.cpp
@@ -9,9 +9,11 @@
 
 using namespace std::chrono_literals;
 
-// Longer than most bursts, so that the other gateways rarely have to be notified again.
-constexpr Duration kExpiration = 8s;
-constexpr std::size_t kCleanupSize = 64;
+// How long a pool counts as exhausted. This is longer than most bursts of requests, so that the other
+// gateways rarely need another notification.
+constexpr Duration kExhaustedDuration = 8s;
+// With fewer records than this, expired ones are not removed.
+constexpr std::size_t kMinimumCleanupSize = 64;
 
 }  // namespace
 
@@ -33,10 +35,11 @@
   return static_cast<Key>(fnv1a_64(customer));
 }
 
-// Expired entries go whenever there are twice as many entries as were left the last time.
+// Removes the expired records once there are twice as many records as the last removal left, plus
+// kMinimumCleanupSize. The cost of a removal is thereby spread over many insertions.
 void ExhaustedPools::insert_key(Key key, Duration now) {
-  expirations_[key] = now + kExpiration;
-  if (expirations_.size() < 2 * size_after_cleanup_ + kCleanupSize) return;
+  expirations_[key] = now + kExhaustedDuration;
+  if (expirations_.size() < 2 * size_after_cleanup_ + kMinimumCleanupSize) return;
   std::erase_if(expirations_, [now](const auto& entry) { return entry.second <= now; });
   size_after_cleanup_ = expirations_.size();
 }
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -155,8 +155,8 @@
   const bool permitted = quota_.slices().permits_attempt(request, slice);
   if (request.deadline <= now) {
     answer_unserved(id, settings_.capabilities.max_retry_after);
-  } else if (verdict == QuotaVerdict::ask_pool && permitted && now >= slice.next_pool_call) {
-    quota_.pool().ask(id, request, slice, now);
+  } else if (verdict == QuotaVerdict::take_from_pool && permitted && now >= slice.next_pool_call) {
+    quota_.pool().take_for_request(id, request, slice, now);
   } else {
     const bool within_quota = verdict == QuotaVerdict::within_quota && permitted;
     apply_quota(id, within_quota, quota_.slices().time_to_cover(slice, request.units));
--- a/src/policy/quota_allocator.cpp
+++ b/src/policy/quota_allocator.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// Several times within the spells for which demand stays the same.
+// Short enough for several rebalances before a customer's demand changes.
 constexpr Duration kRebalanceInterval = 2s;
 
 }  // namespace
@@ -17,8 +17,9 @@
       slices_(settings, counter_),
       pool_(settings, slices_, counter_, random, effects) {}
 
-QuotaSlice& QuotaAllocator::slice(const std::string& customer, std::size_t plan, int spread, Duration now) {
-  const auto [slice, created] = slices_.find_or_create(customer, plan, spread, now);
+QuotaSlice& QuotaAllocator::slice(const std::string& customer, std::size_t plan, int gateway_spread,
+                                  Duration now) {
+  const auto [slice, created] = slices_.find_or_create(customer, plan, gateway_spread, now);
   if (created) rebalances_.emplace(now + kRebalanceInterval, customer);
   return slice;
 }
@@ -27,18 +28,19 @@
   slices_.refill(slice, now);
   slices_.record_request(slice, request.units, is_retry);
   pool_.record_request(request.units);
-  const bool needs_pool = slices_.pooled_share(slice, now) > 0 && slice.tokens < request.units;
-  // Any tokens left admit one request, and the slice goes below zero: a part of a small burst is less than
-  // one large request.
+  const bool needs_pool = slices_.effective_pooled_share(slice, now) > 0 && slice.tokens < request.units;
+  // Any positive balance admits one request, even if the slice's tokens become negative: a slice of a small
+  // burst may hold less than one large request.
   if (!needs_pool) {
     return slices_.is_unlimited(request) || slice.tokens > 0 ? QuotaVerdict::within_quota
                                                              : QuotaVerdict::over_quota;
   }
   if (is_retry) return QuotaVerdict::over_quota;
-  if (pool_.may_ask(request)) return QuotaVerdict::ask_pool;
-  if (!pool_.admits_unasked(request, slice, now)) return QuotaVerdict::over_quota;
-  // The requests that ask take units for these, too.
-  slice.unasked_units += request.units;
+  if (pool_.should_call_counter(request)) return QuotaVerdict::take_from_pool;
+  if (!pool_.may_admit_uncounted(request, slice, now)) return QuotaVerdict::over_quota;
+  // The requests that call the counter also take this request's units. The tokens added here are charged to
+  // the slice again on admission.
+  slice.uncounted_units += request.units;
   slice.tokens += request.units;
   return QuotaVerdict::within_quota;
 }
--- a/src/policy/quota_allocator.hpp
+++ b/src/policy/quota_allocator.hpp
@@ -1,10 +1,10 @@
-// Enforces customers' quotas across gateways: the weight allocation of Pisces (Shue, Freedman, Shaikh,
-// "Performance Isolation and Fairness for Multi-Tenant Cloud Storage", section 3.2) with the departures that
-// docs/design.md states.
+// Enforces customers' quotas across gateways. It follows the weight allocation of Pisces (Shue, Freedman,
+// Shaikh, "Performance Isolation and Fairness for Multi-Tenant Cloud Storage", section 3.2); docs/design.md
+// lists the differences.
 //
-// Each gateway admits a customer's requests out of a local slice of the quota (QuotaSlices). Surplus moves to
-// a pool on the counter service (QuotaPool), and a request that its slice does not cover takes its units from
-// there.
+// Each gateway admits a customer's requests from a local slice of the quota (QuotaSlices). It moves surplus
+// units to a pool on the counter service (QuotaPool). A request that its slice does not cover takes its units
+// from the pool.
 #pragma once
 #include <map>
 #include <optional>
@@ -21,30 +21,34 @@
 
 namespace ironquay {
 
-// What the quota says of a request that has arrived.
+// The quota decision on an arriving request.
 enum class QuotaVerdict {
   within_quota,
   over_quota,
-  ask_pool,  // the pool on the counter has to be asked first
+  take_from_pool,  // undecided until units are taken from the pool on the counter
 };
 
 class QuotaAllocator {
  public:
-  // All have to outlive the allocator.
+  // All arguments must outlive the allocator.
   QuotaAllocator(const PolicySettings& settings, RandomSource& random, Effects& effects);
 
-  // The customer's slice; a new one starts with its full burst. `spread`: number of the customer's gateways.
-  QuotaSlice& slice(const std::string& customer, std::size_t plan, int spread, Duration now);
+  // Returns the customer's slice. A new one starts with its full part of the burst and is scheduled for
+  // rebalancing. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's
+  // gateways.
+  QuotaSlice& slice(const std::string& customer, std::size_t plan, int gateway_spread, Duration now);
   QuotaSlices& slices() { return slices_; }
   const QuotaSlices& slices() const { return slices_; }
   QuotaPool& pool() { return pool_; }
 
-  // Counts an arriving request and decides on it. Clients' retries take from the slice alone: what was
-  // rejected would be asked about again and again.
+  // Records an arriving request and decides on it. Client retries never take from the pool: otherwise each
+  // retry of a rejected request would call the counter again.
   QuotaVerdict check(const Request& request, QuotaSlice& slice, bool is_retry, Duration now);
 
-  // Customers' surplus is moved to the pools at regular times; those not seen for long are forgotten.
+  // The time of the next rebalance; Duration::max() if there are no slices.
   Duration next_rebalance() const;
+  // Moves the surplus of the slice whose rebalance is due next to its pool, or erases the slice if its
+  // customer has sent no request for a pool period. There must be a scheduled rebalance.
   void rebalance_next(Duration now);
 
  private:
@@ -53,7 +57,7 @@
   CounterHealth counter_;
   QuotaSlices slices_;
   QuotaPool pool_;
-  std::multimap<Duration, std::string> rebalances_;  // customers by time
+  std::multimap<Duration, std::string> rebalances_;  // customers by the time of their next rebalance
 };
 
 }  // namespace ironquay
--- a/src/policy/quota_pool.cpp
+++ b/src/policy/quota_pool.cpp
@@ -11,23 +11,32 @@
 
 using namespace std::chrono_literals;
 
-// A name outlives its period, and the counter permits a minute.
-constexpr Duration kPoolLifetime = QuotaPool::kPeriod + 10s;
-// While the counter is slow, this part of the burst is admitted unasked between two takes.
-constexpr double kUnaskedBurstShare = 0.25;
-// A contribution under this part of the burst is not worth its call.
-constexpr double kMinimumContribution = 0.1;
-constexpr double kDemandHeadroom = 2;
-// Surplus is what flows in during so many seconds and is not needed.
+// The lifetime of a counter name from its first use. It exceeds the period, so that the name exists until its
+// period ends, and stays below one minute, the longest lifetime that the counter permits.
+constexpr Duration kPoolNameLifetime = QuotaPool::kPeriod + 10s;
+// While the counter is slow, requests that do not call it may use this share of the pool's burst between two
+// takes.
+constexpr double kUncountedBurstShare = 0.25;
+// A contribution below this share of the plan's burst is not worth a call to the counter.
+constexpr double kMinimumContributionShare = 0.1;
+// The rate at which a slice fills is divided by this before it is compared with demand. The rest is headroom
+// for demand above the measured rate.
+constexpr double kDemandHeadroomDivisor = 2;
+// The surplus is the unneeded inflow of this many seconds.
 constexpr double kSurplusSeconds = 2;
+// The weight of a new request in the mean size of requests.
 constexpr double kMeanUnitsSmoothing = 0.02;
-// Counters round to thousandths, and totals have some seven exact digits.
+// The errors of a total: the counter rounds totals to thousandths, and they have about seven exact digits.
 constexpr double kCounterRelativeError = 0.0001, kCounterRounding = 0.001;
+// The smallest amount to take, in units; also bounds divisors away from zero.
 constexpr double kSmallestAmount = 1e-3;
-// Of what all gateways together accept, the part that gossip about empty pools may take.
-constexpr double kGossipShare = 0.5;
+// The smallest number of units in a slice that counts as a positive balance.
+constexpr double kPositiveTokens = 1e-6;
+// Of the gossip messages that all gateways together accept, the share that announcements of exhausted pools
+// may use.
+constexpr double kAnnouncementShare = 0.5;
 
-// Periods of different customers begin at different times, the same at all gateways.
+// Staggers the periods of different customers. All gateways compute the same offset for a customer.
 Duration period_offset(std::string_view customer) {
   return Duration(static_cast<std::int64_t>(fnv1a_64(customer) >> 20) % QuotaPool::kPeriod.count());
 }
@@ -35,27 +44,32 @@
 }  // namespace
 
 void QuotaPool::record_request(double units) {
-  mean_units_ = mean_units_ > 0 ? mean_units_ + kMeanUnitsSmoothing * (units - mean_units_) : units;
+  mean_request_units_ = mean_request_units_ > 0
+                            ? mean_request_units_ + kMeanUnitsSmoothing * (units - mean_request_units_)
+                            : units;
 }
 
-// While the counter is too slow to be asked, most customers are far below their quotas, and rejecting them
-// costs more than what is admitted beyond.
-bool QuotaPool::admits_unasked(const Request& request, const QuotaSlice& slice, Duration now) const {
+// While the counter is too slow for every request to call it, most customers are far below their quotas.
+// Rejecting their requests costs more than the units that are admitted over quota.
+bool QuotaPool::may_admit_uncounted(const Request& request, const QuotaSlice& slice, Duration now) const {
   if (exhausted_.contains(request.customer, now)) return false;
-  const double most = slice.pooled_share * settings_.plans[request.plan].burst * kUnaskedBurstShare;
-  return slice.unasked_units < most;
+  const double limit = slice.pooled_share * settings_.plans[request.plan].burst * kUncountedBurstShare;
+  return slice.uncounted_units < limit;
 }
 
-// Asks for the request's units and a second's demand. From a pool that is known to be empty it asks for the
-// units alone, as what goes back again would meanwhile shut others out.
-void QuotaPool::ask(RequestId id, const Request& request, const QuotaSlice& slice, Duration now) {
+// Takes the request's units plus one second of the customer's other demand. From a pool that is known to be
+// exhausted it takes only the request's units: extra units would be returned later, and until then other
+// gateways could not take them.
+void QuotaPool::take_for_request(RequestId id, const Request& request, const QuotaSlice& slice,
+                                 Duration now) {
   const bool exhausted = exhausted_.contains(request.customer, now);
-  const double other_demand = slice.demand - request.units / to_seconds(kQuotaDemandWindow);
-  const double ahead = exhausted ? 0 : std::max(0.0, other_demand);
-  const double units = std::max(request.units + ahead - slice.tokens, kSmallestAmount);
-  // Where only some requests ask, each takes for those that do not, but no more than the pool ever holds.
-  const double most = exhausted ? 0 : slice.pooled_share * settings_.plans[slice.plan].burst;
-  const double amount = std::max(units, std::min(units / asking_share(request), most));
+  const double other_demand = slice.demand_rate - request.units / to_seconds(kQuotaDemandWindow);
+  const double extra_units = exhausted ? 0 : std::max(0.0, other_demand);
+  const double units = std::max(request.units + extra_units - slice.tokens, kSmallestAmount);
+  // Where only a share of the requests calls the counter, each take also covers the requests that do not, up
+  // to the pool's burst.
+  const double pool_burst = exhausted ? 0 : slice.pooled_share * settings_.plans[slice.plan].burst;
+  const double amount = std::max(units, std::min(units / call_probability(request), pool_burst));
   const CounterCall call{CounterPurpose::take_for_request, request.customer, units, id, 0, now};
   call_counter(pool_name(request.customer, now), call, amount, now);
 }
@@ -73,7 +87,8 @@
   if (slice == nullptr) return std::nullopt;
   slices_.refill(*slice, now);
   const bool not_added = reply.outcome == Outcome::rejected || reply.outcome == Outcome::connect_failed;
-  // A contribution that may have been added is gone.
+  // The slice gets a contribution back only if the counter cannot have added it. Otherwise the same units
+  // could be used twice.
   if (call.purpose == CounterPurpose::contribute_surplus && not_added) slice->tokens += call.units;
   if (call.purpose != CounterPurpose::take_for_request) return std::nullopt;
 
@@ -81,62 +96,66 @@
   const bool total_lost = reply.outcome == Outcome::connection_lost;
   const bool added = reply.outcome == Outcome::success || total_lost;
   if (added) {
-    const double missing = request == nullptr ? 0 : std::max(0.0, request->units - slice->tokens);
-    on_taken(call, reply.name, total_lost ? std::nullopt : std::optional(reply.total), missing, now);
+    const double shortfall = request == nullptr ? 0 : std::max(0.0, request->units - slice->tokens);
+    on_take_reply(call, reply.name, total_lost ? std::nullopt : std::optional(reply.total), shortfall, now);
   }
   if (request == nullptr) return std::nullopt;
-  // Without an answer any units left admit one request.
-  const double needed = added ? request->units : 1e-6;
+  // If the take failed, any positive balance of the slice admits one request.
+  const double needed = added ? request->units : kPositiveTokens;
   const double wait = to_seconds(slice->next_pool_call - now);
   return PoolVerdict{call.request, slice->tokens >= needed, capped_retry_after(wait)};
 }
 
-void QuotaPool::on_taken(const CounterCall& call, std::string_view name, std::optional<double> total,
-                         double missing_units, Duration now) {
+// Moves the units of a take to the slice as far as the pool held them, and corrects the count otherwise.
+// `total`: the count after the take, empty if it is unknown. `shortfall`: units that the waiting request
+// needs in addition to the slice's tokens.
+void QuotaPool::on_take_reply(const CounterCall& call, std::string_view name, std::optional<double> total,
+                              double shortfall, Duration now) {
   QuotaSlice& slice = slices_.at(call.customer);
   const QuotaPlan& plan = settings_.plans[slice.plan];
   const double burst = slice.pooled_share * plan.burst;
-  const double left = units_left(call, slice, total, now);
-  // If the pool does not hold it all, the request gets what it needs itself.
-  const double available = left + call.amount;
-  const double enough = available >= missing_units ? missing_units : 0;
-  const double taken = available >= call.units ? call.units : enough;
+  const double remaining = remaining_units(call, slice, total, now);
+  // If the pool does not hold all the units of the take, it may still cover the request itself.
+  const double available = remaining + call.amount;
+  const double request_part = available >= shortfall ? shortfall : 0;
+  const double taken = available >= call.units ? call.units : request_part;
   if (taken > 0) {
     slice.tokens += taken;
-    slice.unasked_units = 0;
-    if (left > burst / 2) exhausted_.erase(call.customer);
+    slice.uncounted_units = 0;
+    if (remaining > burst / 2) exhausted_.erase(call.customer);
   } else {
-    slice.next_pool_call = now + from_seconds((missing_units - available) / (slice.pooled_share * plan.rate));
+    slice.next_pool_call = now + from_seconds((shortfall - available) / (slice.pooled_share * plan.rate));
     mark_exhausted(call.customer, slice, now);
   }
   if (taken < call.units) {
-    const CounterCall give_back{CounterPurpose::return_units, call.customer, 0, 0, 0, now};
-    call_counter(name, give_back, (taken / call.units - 1) * call.amount, now);
+    const CounterCall return_call{CounterPurpose::correct_count, call.customer, 0, 0, 0, now};
+    call_counter(name, return_call, (taken / call.units - 1) * call.amount, now);
     return;
   }
-  if (left > burst) trim(call, name, total, left - burst, burst, now);
+  if (remaining > burst) trim_excess(call, name, total, remaining - burst, burst, now);
 }
 
-// What the pool still holds after the take. Without a total it counts as empty where it is known to be, and
-// else as having held just what was taken.
-double QuotaPool::units_left(const CounterCall& call, const QuotaSlice& slice, std::optional<double> total,
-                             Duration now) const {
+// The units in the pool after the take; negative if the take exceeded them. Without a total, a pool that is
+// known to be exhausted counts as empty before the take, and any other pool as having held exactly the amount
+// taken.
+double QuotaPool::remaining_units(const CounterCall& call, const QuotaSlice& slice,
+                                  std::optional<double> total, Duration now) const {
   if (!total) return exhausted_.contains(call.customer, now) ? -call.amount : 0;
   const QuotaPlan& plan = settings_.plans[slice.plan];
   const double burst = slice.pooled_share * plan.burst;
-  const double into_period = to_seconds((call.sent_at + period_offset(call.customer)) % kPeriod);
-  return burst + slice.pooled_share * plan.rate * into_period - *total;
+  const double seconds_into_period = to_seconds((call.sent_at + period_offset(call.customer)) % kPeriod);
+  return burst + slice.pooled_share * plan.rate * seconds_into_period - *total;
 }
 
-// What would fill the pool beyond its burst is lost. The first to take from it trims the excess at once.
-// Later ones do so with a chance that grows with the excess, and by a burst at most: others may be trimming
-// at the same time.
-void QuotaPool::trim(const CounterCall& call, std::string_view name, std::optional<double> total,
-                     double excess, double burst, Duration now) {
+// Removes units that exceed the pool's burst by adding them to the count. The first gateway to take from a
+// pool removes the whole excess. Later ones do so with a probability that grows with the excess, and remove
+// one burst at most, because other gateways may be trimming the same pool at the same time.
+void QuotaPool::trim_excess(const CounterCall& call, std::string_view name, std::optional<double> total,
+                            double excess, double burst, Duration now) {
   const bool is_first = total && *total < (1 + kCounterRelativeError) * call.amount + kCounterRounding;
   if (!is_first && !random_.chance(excess / burst)) return;
-  const CounterCall trim{CounterPurpose::return_units, call.customer, 0, 0, 0, now};
-  call_counter(name, trim, is_first ? excess : std::min(excess, burst), now);
+  const CounterCall trim_call{CounterPurpose::correct_count, call.customer, 0, 0, 0, now};
+  call_counter(name, trim_call, is_first ? excess : std::min(excess, burst), now);
 }
 
 void QuotaPool::mark_exhausted(const std::string& customer, const QuotaSlice& slice, Duration now) {
@@ -144,13 +163,13 @@
   exhausted_.insert(customer, now);
 }
 
-// Notifies the customer's other gateways, for those that cannot ask the counter.
+// Notifies the customer's other gateways by gossip, because some of them may not be able to call the counter.
 void QuotaPool::announce_exhausted(const std::string& customer, const QuotaSlice& slice, Duration now) {
   const double rate_limit = settings_.capabilities.gossip_rate_limit;
   if (rate_limit <= 0 || now < next_announcement_) return;
-  const int spread = static_cast<int>(std::lround(1 / slice.share));
-  next_announcement_ = now + from_seconds(spread / kGossipShare / rate_limit);
-  for (int i = 0; i < spread; ++i) {
+  const int gateway_spread = static_cast<int>(std::lround(1 / slice.gateway_share));
+  next_announcement_ = now + from_seconds(gateway_spread / kAnnouncementShare / rate_limit);
+  for (int i = 0; i < gateway_spread; ++i) {
     const int peer = (slice.first_gateway + i) % settings_.gateway_count;
     if (peer != settings_.gateway_index) effects_.send_gossip(peer, ExhaustedPools::encode(customer));
   }
@@ -160,29 +179,33 @@
   call.amount = amount;
   call.sent_at = now;
   pending_calls_[std::string(name)].push_back(std::move(call));
-  effects_.add_to_counter(name, amount, kPoolLifetime);
+  effects_.add_to_counter(name, amount, kPoolNameLifetime);
 }
 
+// The customer and the number of the current period.
 std::string QuotaPool::pool_name(const std::string& customer, Duration now) {
   return customer + ":" + std::to_string((now + period_offset(customer)) / kPeriod);
 }
 
-// Surplus is what flows in until the next time beyond demand and its headroom. One request's units stay.
+// The surplus is the slice's inflow over kSurplusSeconds that exceeds demand and its headroom. The slice
+// keeps at least the units of one request of peak size.
 void QuotaPool::contribute_surplus(const std::string& customer, QuotaSlice& slice, Duration now) {
   if (slice.pooled_share <= 0 || !counter_.available(now)) return;
   slices_.refill(slice, now);
-  const double own_rate = slice.rate * (1 - slice.pooled_share);
-  const double unused = (own_rate / kDemandHeadroom - slice.demand) * kSurplusSeconds;
-  const double surplus = std::min(unused, slice.tokens - slice.request_units);
-  if (surplus < settings_.plans[slice.plan].burst * kMinimumContribution) return;
+  const double local_rate = slice.rate * (1 - slice.pooled_share);
+  const double unused = (local_rate / kDemandHeadroomDivisor - slice.demand_rate) * kSurplusSeconds;
+  const double surplus = std::min(unused, slice.tokens - slice.peak_request_units);
+  if (surplus < settings_.plans[slice.plan].burst * kMinimumContributionShare) return;
   slice.tokens -= surplus;
   const CounterCall contribution{CounterPurpose::contribute_surplus, customer, surplus, 0, 0, now};
   call_counter(pool_name(customer, now), contribution, -surplus, now);
 }
 
-// Larger requests ask sooner, as more is at stake in each.
-double QuotaPool::asking_share(const Request& request) const {
-  return std::min(1.0, counter_.call_share() * request.units / std::max(mean_units_, kSmallestAmount));
+// The probability grows with the request's size, because a wrong decision on a larger request affects more
+// units.
+double QuotaPool::call_probability(const Request& request) const {
+  return std::min(1.0,
+                  counter_.call_share() * request.units / std::max(mean_request_units_, kSmallestAmount));
 }
 
 }  // namespace ironquay
--- a/src/policy/quota_slice.hpp
+++ b/src/policy/quota_slice.hpp
@@ -1,29 +1,29 @@
 // A gateway's local part of one customer's quota.
 //
-// Units flow in at `rate` and are held as `tokens`, up to the slice's part of the burst. A part of every
-// slice, `pooled_share`, does not fill it but stands in the customer's pool on the counter service, from
-// which all gateways take.
+// A slice is a token bucket: units flow in at a fixed rate, up to the slice's part of the burst. Part of
+// every slice, `pooled_share`, does not flow into the slice but into the customer's pool on the counter
+// service, from which all of the customer's gateways take.
 #pragma once
 #include "policy/settings.hpp"
 
 namespace ironquay {
 
-// Demand is measured over this time. A shorter one sees single requests, a longer one the gateway that was
-// busy before.
+// The time constant of the demand measurement. A shorter one follows single requests; a longer one still
+// shows demand that has already moved to another gateway.
 constexpr Duration kQuotaDemandWindow = std::chrono::seconds(4);
 
 struct QuotaSlice {
-  std::size_t plan = 0;        // index into PolicySettings::plans
-  int first_gateway = 0;       // the customer's gateways are numbered consecutively from this one
-  double share = 1;            // one over the number of the customer's gateways
-  double rate = 0;             // units per second, with the part that stands in the pool
-  double pooled_share = 0;     // part of the quota that stands in the pool
-  double tokens = 0;           // units; may be negative
-  double demand = 0;           // units per second requested of late
-  double request_units = 0;    // the largest request of late
-  double unasked_units = 0;    // admitted without asking the pool since units were last taken from it
-  Duration next_pool_call{0};  // the pool is known to hold too little before
-  double ceiling_tokens = 0;   // units that may be forwarded under the plan's hard ceiling
+  std::size_t plan = 0;      // index into PolicySettings::plans
+  int first_gateway = 0;     // index of the first of the customer's gateways, which have consecutive indices
+  double gateway_share = 1;  // this gateway's share of the quota: 1 / number of the customer's gateways
+  double rate = 0;           // units per second, including the part that flows into the pool
+  double pooled_share = 0;   // share of the quota that is in the pool, from 0 to 1
+  double tokens = 0;         // units available; may be negative
+  double demand_rate = 0;    // units per second requested within about kQuotaDemandWindow
+  double peak_request_units = 0;  // units of the largest recent request; decays towards the current size
+  double uncounted_units = 0;     // units admitted without a counter call since the last take from the pool
+  Duration next_pool_call{0};     // the pool is known to hold too few units until this time
+  double ceiling_tokens = 0;      // units that may still be forwarded under the plan's hard ceiling
   int attempts_in_flight = 0;
   Duration refilled_at{0};
   Duration last_used_at{0};
--- a/src/policy/quota_slices.cpp
+++ b/src/policy/quota_slices.cpp
@@ -8,33 +8,38 @@
 namespace ironquay {
 namespace {
 
+// The longest time after which a rejected client is advised to retry.
 constexpr double kMaxRetryAfterSeconds = 60;
-// Where a slice holds this many of the largest requests, half of the quota stands in the pool. With less,
-// slices reject what others have units for.
-constexpr double kPooledHalfRequests = 8;
+// Half of the quota is in the pool if a slice's part of the burst equals this many requests of the largest
+// size. With a smaller number less is pooled, and slices reject requests while other slices hold unused
+// units.
+constexpr double kHalfPooledRequests = 8;
+// Units per second; keeps the wait for a slice without inflow finite.
 constexpr double kMinimumRate = 1e-3;
-// The request size of a slice follows the largest of the last ten or so.
-constexpr double kRequestSizeDecay = 0.1;
+// The weight of a smaller request in a slice's peak request size, so that the peak covers about the last ten
+// requests.
+constexpr double kPeakRequestDecay = 0.1;
 
 }  // namespace
 
 Duration capped_retry_after(double seconds) { return from_seconds(std::min(seconds, kMaxRetryAfterSeconds)); }
 
 QuotaSlices::Lookup QuotaSlices::find_or_create(const std::string& customer, std::size_t plan_index,
-                                                int spread, Duration now) {
+                                                int gateway_spread, Duration now) {
   const auto [entry, created] = slices_.try_emplace(customer);
   QuotaSlice& slice = entry->second;
   slice.last_used_at = now;
   if (!created) return {slice, false};
   const QuotaPlan& plan = settings_.plans[plan_index];
   slice.plan = plan_index;
-  slice.share = 1.0 / std::max(1, spread);
-  slice.rate = plan.rate * slice.share;
-  if (plan.rate > 0 && settings_.capabilities.counter && spread > 1) {
-    slice.pooled_share = 1 / (1 + plan.burst * slice.share / (kPooledHalfRequests * settings_.max_units));
+  slice.gateway_share = 1.0 / std::max(1, gateway_spread);
+  slice.rate = plan.rate * slice.gateway_share;
+  if (plan.rate > 0 && settings_.capabilities.counter && gateway_spread > 1) {
+    slice.pooled_share =
+        1 / (1 + plan.burst * slice.gateway_share / (kHalfPooledRequests * settings_.max_units));
   }
-  // The tokens of the ceiling start empty: a gateway that restarts must not fill them a second time.
-  slice.tokens = plan.burst * slice.share * (1 - pooled_share(slice, now));
+  // `ceiling_tokens` starts at zero: a full burst after every restart would exceed the ceiling.
+  slice.tokens = plan.burst * slice.gateway_share * (1 - effective_pooled_share(slice, now));
   slice.refilled_at = now;
   return {slice, true};
 }
@@ -48,25 +53,26 @@
   const QuotaPlan& plan = settings_.plans[slice.plan];
   const double elapsed = to_seconds(now - slice.refilled_at);
   slice.refilled_at = now;
-  const double rate = slice.rate * (1 - pooled_share(slice, now));
-  const double most = plan.rate > 0 ? std::max(plan.burst * rate / plan.rate, slice.request_units) : 0;
-  // Units that came from the pool may exceed what the slice holds by itself.
-  slice.tokens = std::max(slice.tokens, std::min(most, slice.tokens + rate * elapsed));
-  slice.ceiling_tokens = std::min(plan.ceiling_burst * slice.share,
-                                  slice.ceiling_tokens + plan.ceiling_rate * slice.share * elapsed);
-  slice.demand *= std::exp(-elapsed / to_seconds(kQuotaDemandWindow));
+  const double rate = slice.rate * (1 - effective_pooled_share(slice, now));
+  const double capacity =
+      plan.rate > 0 ? std::max(plan.burst * rate / plan.rate, slice.peak_request_units) : 0;
+  // Tokens above the capacity were taken from the pool; they are kept.
+  slice.tokens = std::max(slice.tokens, std::min(capacity, slice.tokens + rate * elapsed));
+  slice.ceiling_tokens = std::min(plan.ceiling_burst * slice.gateway_share,
+                                  slice.ceiling_tokens + plan.ceiling_rate * slice.gateway_share * elapsed);
+  slice.demand_rate *= std::exp(-elapsed / to_seconds(kQuotaDemandWindow));
 }
 
-// Nothing is taken from the pool while the counter is unavailable. The whole quota fills the slices then, so
-// that their sum stays the same.
-double QuotaSlices::pooled_share(const QuotaSlice& slice, Duration now) const {
+// While the counter is unavailable, nothing is taken from the pool. The slices then receive the whole quota,
+// so that their sum still equals it.
+double QuotaSlices::effective_pooled_share(const QuotaSlice& slice, Duration now) const {
   return counter_.available(now) ? slice.pooled_share : 0;
 }
 
 void QuotaSlices::record_request(QuotaSlice& slice, double units, bool is_retry) {
-  const double decayed = slice.request_units + kRequestSizeDecay * (units - slice.request_units);
-  slice.request_units = std::max(units, decayed);
-  if (!is_retry) slice.demand += units / to_seconds(kQuotaDemandWindow);
+  const double decayed = slice.peak_request_units + kPeakRequestDecay * (units - slice.peak_request_units);
+  slice.peak_request_units = std::max(units, decayed);
+  if (!is_retry) slice.demand_rate += units / to_seconds(kQuotaDemandWindow);
 }
 
 Duration QuotaSlices::time_to_cover(const QuotaSlice& slice, double units) {
@@ -74,8 +80,8 @@
 }
 
 bool QuotaSlices::permits_attempt(const Request& request, const QuotaSlice& slice) const {
-  const int most = settings_.plans[request.plan].max_concurrent;
-  return most <= 0 || slice.attempts_in_flight < std::max(1.0, most * slice.share);
+  const int limit = settings_.plans[request.plan].max_concurrent;
+  return limit <= 0 || slice.attempts_in_flight < std::max(1.0, limit * slice.gateway_share);
 }
 
 std::optional<Duration> QuotaSlices::ceiling_wait(const Request& request, const QuotaSlice& slice) const {
@@ -98,7 +104,7 @@
   QuotaSlice* slice = find(request.customer);
   if (slice == nullptr || !settings_.settles_units || actual_units <= 0 || request.over_quota) return;
   slice->tokens -= actual_units - request.units;
-  slice->demand += (actual_units - request.units) / to_seconds(kQuotaDemandWindow);
+  slice->demand_rate += (actual_units - request.units) / to_seconds(kQuotaDemandWindow);
 }
 
 void QuotaSlices::attempt_started(const Request& request) {
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -1,4 +1,4 @@
-// The local slices of all customers that this gateway has seen of late.
+// The local quota slices of all customers that have recently sent requests to this gateway.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,7 +14,7 @@
 
 class QuotaSlices {
  public:
-  // Both have to outlive the slices.
+  // Both arguments must outlive the slices.
   QuotaSlices(const PolicySettings& settings, const CounterHealth& counter)
       : settings_(settings), counter_(counter) {}
 
@@ -22,35 +22,42 @@
     QuotaSlice& slice;
     bool created;
   };
-  // The customer's slice; a new one starts with its full burst. `spread`: number of the customer's gateways.
-  Lookup find_or_create(const std::string& customer, std::size_t plan, int spread, Duration now);
-  // Null if the customer has not been seen of late.
+  // Returns the customer's slice and marks it as used now. A new slice starts with its full part of the
+  // burst. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's gateways.
+  Lookup find_or_create(const std::string& customer, std::size_t plan, int gateway_spread, Duration now);
+  // Null if there is no slice for the customer.
   QuotaSlice* find(const std::string& customer);
+  // Throws std::out_of_range if there is no slice for the customer.
   QuotaSlice& at(const std::string& customer) { return slices_.at(customer); }
   void erase(const std::string& customer) { slices_.erase(customer); }
   bool empty() const { return slices_.empty(); }
 
-  // Adds what has flowed in since the last call.
+  // Adds the units that have flowed in since the last call, and decays the measured demand.
   void refill(QuotaSlice& slice, Duration now) const;
-  // The part of the quota that stands in the pool now.
-  double pooled_share(const QuotaSlice& slice, Duration now) const;
+  // The share of the quota that is in the pool now: 0 while the counter is unavailable.
+  double effective_pooled_share(const QuotaSlice& slice, Duration now) const;
 
   // Whether the request's plan has no quota.
   bool is_unlimited(const Request& request) const { return settings_.plans[request.plan].rate <= 0; }
-  // How long until the slice by itself covers that many units.
+  // Estimates the time until `units` are available at the slice's whole rate, including the pooled part. The
+  // result is capped by capped_retry_after().
   static Duration time_to_cover(const QuotaSlice& slice, double units);
-  // Whether the plan permits the customer one more attempt in flight at this gateway.
+  // Whether the plan permits the customer another attempt in flight at this gateway.
   bool permits_attempt(const Request& request, const QuotaSlice& slice) const;
-  // How long until the plan's hard ceiling permits the request's first attempt; empty if it does now.
+  // Time until the plan's hard ceiling permits the request's first attempt; empty if it is permitted now.
   std::optional<Duration> ceiling_wait(const Request& request, const QuotaSlice& slice) const;
 
-  // A request of so many units has arrived. Clients' retries do not count as demand.
+  // Updates the slice's peak request size and demand with an arriving request of `units`. Client retries do
+  // not count as demand.
   static void record_request(QuotaSlice& slice, double units, bool is_retry);
-  // Takes an admitted request's units from its slice, and gives them back if it was never sent.
+  // Takes the units of an admitted request from its slice.
   void charge(const Request& request);
+  // Returns the request's units to its slice if they were charged and no attempt was sent.
   void refund(const Request& request);
-  // The request really took other units than it said.
+  // Adjusts the slice if the worker reported other units than the request was charged. `actual_units` of zero
+  // means that the worker reported none.
   void correct_units(const Request& request, double actual_units);
+  // Must be called before the attempt is added to the request.
   void attempt_started(const Request& request);
   void attempt_ended(const Request& request);
 
@@ -60,7 +67,7 @@
   std::unordered_map<std::string, QuotaSlice> slices_;
 };
 
-// The longest time after which a rejected client is advised to retry.
+// Converts the time after which a rejected client is advised to retry, and caps it at one minute.
 Duration capped_retry_after(double seconds);
 
 }  // namespace ironquay
--- a/test/policy/quota_pool_test.cpp
+++ b/test/policy/quota_pool_test.cpp
@@ -1,4 +1,5 @@
-// The pool on the counter: takes, returns, trims, and what gateways do while the counter answers badly.
+// Tests of the shared pool on the counter: takes, returns of units, trimming to the burst, and the behaviour
+// of a gateway while the counter is slow, silent or unavailable.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -7,16 +8,18 @@
 namespace ironquay {
 namespace {
 
-// A total that leaves nothing in any pool of the fixture.
+// A count in units at which every pool of the fixture is exhausted.
 constexpr double kExhaustedTotal = 1e5;
 
-// Grown deployments: a hundredth of a quota holds less than one request.
+// Guards against rejections below quota in large deployments: with hundreds of gateways, a slice's part of
+// the burst is smaller than one request, so the units must come from the pool.
 TEST_CASE(
-    "a request that its slice does not cover waits for the pool and is admitted if that holds its units") {
+    "a request that its slice does not cover waits for the counter and is admitted if the pool holds its "
+    "units") {
   struct Row {
     Outcome outcome;
     double total;
-    std::string answer;
+    std::string expected_action;
   };
   const Row rows[] = {{Outcome::success, 4, "send 1 to 1"},
                       {Outcome::success, kExhaustedTotal, "reject 1"},
@@ -29,46 +32,48 @@
     CHECK(fixture.effects.actions.empty());
     REQUIRE(fixture.effects.counter_amounts.at(0) == Approx(4));
     fixture.balancer.on_counter_reply(0s, {fixture.effects.counter_name, row.outcome, row.total});
-    CHECK(fixture.effects.actions == std::vector<std::string>{row.answer});
+    CHECK(fixture.effects.actions == std::vector<std::string>{row.expected_action});
     CHECK(fixture.slice(300).tokens == Approx(0).margin(1e-9));
     if (row.total > 1000) CHECK(fixture.effects.counter_amounts.back() == Approx(-4));
   }
 }
 
-// sapporo-main rough-2: gateways near a period's start each trimmed the whole excess and left the pool empty.
-TEST_CASE("only the first to take from a pool trims all that exceeds the burst") {
+// Guards against gateways that each trim the whole excess near the start of a period and so leave the pool
+// empty (incident: sapporo-main rough-2).
+TEST_CASE("only the first gateway that takes from a pool trims the whole excess over the burst") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(30);
   const double burst = slice.pooled_share * 60;
-  const auto trimmed = [&](double total) {
+  const auto trimmed_units = [&](double total) {
     fixture.effects.counter_amounts.clear();
     fixture.pool.reply_to_take("c", 4, total, 0, 20s);
     return fixture.effects.counter_amounts.empty() ? 0 : fixture.effects.counter_amounts[0];
   };
-  const double excess = trimmed(4);
+  const double excess = trimmed_units(4);
   CHECK(excess > burst);
-  CHECK(trimmed(4.0009) > burst);  // the same, as a counter rounds that answers in thousandths
-  double most = 0;
-  for (int i = 0; i < 100; ++i) most = std::max(most, trimmed(4.1));
-  CHECK(most == Approx(burst));
+  CHECK(trimmed_units(4.0009) > burst);  // still the first take: the counter may round totals to thousandths
+  double max_trimmed = 0;
+  for (int i = 0; i < 100; ++i) max_trimmed = std::max(max_trimmed, trimmed_units(4.1));
+  CHECK(max_trimmed == Approx(burst));
 }
 
-TEST_CASE("a take never returns more than it took, though its request was covered meanwhile") {
+TEST_CASE("a take returns at most the units it took, even if its request no longer needs them") {
   Fixture fixture;
   fixture.add_request(1, 0).units = 1;
-  double least = 0;
+  double min_amount = 0;  // the largest return is the most negative amount
   for (int total = 0; total < 2000; ++total) {
     fixture.slice(3).tokens = 9;
     fixture.pool.reply_to_take("c", 4, total, 0, 0s);
     if (!fixture.effects.counter_amounts.empty()) {
-      least = std::min(least, fixture.effects.counter_amounts.back());
+      min_amount = std::min(min_amount, fixture.effects.counter_amounts.back());
     }
   }
-  CHECK(least == Approx(-4));
+  CHECK(min_amount == Approx(-4));
 }
 
-// Malformed totals: each take from an empty pool was lost, and the counter was left alone as if it were down.
-TEST_CASE("a take with an unknown total counts, or is returned where the pool is known to be empty") {
+// Guards against two faults after a reply with a malformed total: a take from an exhausted pool was never
+// returned, and the gateway stopped calling the counter as if it were unavailable.
+TEST_CASE("a take with an unknown total succeeds, but is returned if the pool is known to be exhausted") {
   Fixture announcer;
   announcer.slice(2).first_gateway = 2;
   announcer.pool.reply_to_take("c", 4, kExhaustedTotal, 0, 0s);
@@ -78,21 +83,22 @@
     fixture.slice(2).tokens = 0;
     if (exhausted) fixture.balancer.on_gossip(0s, 1, message);
     fixture.arrive(1, 4, 2);
-    const double taken = fixture.effects.counter_amounts.back();
+    const double taken_units = fixture.effects.counter_amounts.back();
     fixture.add_worker(1);
     fixture.balancer.on_counter_reply(0s, {fixture.effects.counter_name, Outcome::connection_lost, 0});
     CHECK(fixture.effects.actions == std::vector<std::string>{exhausted ? "reject 1" : "send 1 to 1"});
-    CHECK(fixture.effects.counter_amounts.back() == Approx(exhausted ? -taken : taken));
+    CHECK(fixture.effects.counter_amounts.back() == Approx(exhausted ? -taken_units : taken_units));
     CHECK(fixture.quota.counter().unavailable_until() <= 0s);
   }
 }
 
-// Resets at the counter: a return of a second's demand was lost, and a busy customer rejected for seconds.
-TEST_CASE("from a pool known to be empty a request asks for its own units only") {
+// Guards against takes of a second's demand from an exhausted pool: when the counter reset the connection,
+// the return of the units was lost, and a customer with high demand was rejected for seconds.
+TEST_CASE("a request takes only its own units from a pool that is known to be exhausted") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(2);
   slice.tokens = 0;
-  slice.demand = 50;
+  slice.demand_rate = 50;
   fixture.arrive(1, 4, 2);
   CHECK(fixture.effects.counter_amounts.back() > 50);
   fixture.pool.reply_to_take("c", 54, kExhaustedTotal, 4, 0s);
@@ -101,7 +107,9 @@
   CHECK(fixture.effects.counter_amounts.back() == Approx(4));
 }
 
-TEST_CASE("an empty pool is announced to the customer's gateways, which then admit nothing unasked") {
+TEST_CASE(
+    "an exhausted pool is announced to the customer's gateways, which then admit nothing without the "
+    "counter") {
   Fixture announcer;
   announcer.add_worker(1);
   QuotaSlice& slice = announcer.slice(2);
@@ -121,25 +129,26 @@
   CHECK(receiver.effects.actions == std::vector<std::string>{"send 1 to 1", "reject 2"});
 }
 
-// The churn day: with few requests asking, single takes of 20 times the pool left customers rejected for a
-// period.
-TEST_CASE("a take for requests that do not ask takes no more than the pool ever holds") {
+// Guards against oversized takes: while few requests called the counter, a single take of 20 times the pool's
+// burst left the customer's requests rejected for a whole period (incident: the churn day).
+TEST_CASE("a take that also covers uncounted requests is limited to the pool's burst") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(3);
   slice.tokens = 0;
   fixture.quota.counter().set_call_share(0.9);
-  fixture.pool.set_mean_units(400);
+  fixture.pool.set_mean_request_units(400);
   for (RequestId id = 1; fixture.effects.counter_amounts.empty() && id < 1000; ++id) {
     fixture.arrive(id, 4, 3, true);
     slice.tokens = 0;
-    slice.unasked_units = 99;
+    slice.uncounted_units = 99;
     fixture.arrive(1000 + id, 4, 3);
   }
   REQUIRE_FALSE(fixture.effects.counter_amounts.empty());
   CHECK(fixture.effects.counter_amounts[0] == Approx(slice.pooled_share * 60));
 }
 
-TEST_CASE("unasked requests pass until a quarter of the burst went since the last take; retries do not") {
+TEST_CASE(
+    "requests pass without the counter up to a quarter of the burst since the last take; retries do not") {
   Fixture fixture;
   for (WorkerId id = 1; id < 20; ++id) fixture.add_worker(id);
   fixture.quota.counter().set_call_share(1e-9);
@@ -153,7 +162,8 @@
   CHECK(fixture.last_action() == "reject 9");
 }
 
-TEST_CASE("fewer requests ask while the counter is slow or silent, and all again when it answers in time") {
+TEST_CASE(
+    "fewer requests call the counter while it is slow or silent, and all do again once it answers in time") {
   Fixture fixture;
   fixture.slice(3);
   CounterHealth& counter = fixture.quota.counter();
@@ -167,7 +177,7 @@
   now = 100ms;
   reply(50ms, Outcome::timed_out);
   CHECK(counter.call_share() == Approx(0.63));
-  reply(51ms, Outcome::timed_out);  // of the same silence
+  reply(51ms, Outcome::timed_out);  // sent before the previous result
   CHECK(counter.call_share() == Approx(0.63));
   CHECK(counter.backoff() == 250ms);
   for (int i = 0; i < 30; ++i) reply(1ms, Outcome::success);
--- a/test/policy/quota_slice_test.cpp
+++ b/test/policy/quota_slice_test.cpp
@@ -1,4 +1,5 @@
-// Slices: what a gateway admits by itself, and the surplus that it contributes.
+// Tests of quota slices: what a gateway admits without the pool, and the surplus that it contributes to the
+// pool.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -7,23 +8,24 @@
 namespace ironquay {
 namespace {
 
-TEST_CASE("slices and the pool sum to the quota at any spread, and less is pooled where slices are large") {
-  double previous = 0;
-  for (const int spread : {2, 3, 10, 100, 300}) {
+TEST_CASE(
+    "slices and the pool sum to the quota at any gateway spread, and less is pooled if slices are large") {
+  double previous_pooled_share = 0;
+  for (const int gateway_spread : {2, 3, 10, 100, 300}) {
     Fixture fixture;
-    QuotaSlice& slice = fixture.slice(spread);
-    CHECK(slice.pooled_share > previous);
+    QuotaSlice& slice = fixture.slice(gateway_spread);
+    CHECK(slice.pooled_share > previous_pooled_share);
     CHECK(slice.pooled_share < 1);
-    previous = slice.pooled_share;
-    CHECK(slice.tokens * spread + slice.pooled_share * 60 == Approx(60));
+    previous_pooled_share = slice.pooled_share;
+    CHECK(slice.tokens * gateway_spread + slice.pooled_share * 60 == Approx(60));
     slice.tokens = 0;
-    slice.request_units = 0;
+    slice.peak_request_units = 0;
     fixture.modules.quota().slices().refill(slice, 100ms);
-    CHECK(slice.tokens * spread + slice.pooled_share * 30 * 0.1 == Approx(30 * 0.1));
+    CHECK(slice.tokens * gateway_spread + slice.pooled_share * 30 * 0.1 == Approx(30 * 0.1));
   }
 }
 
-TEST_CASE("while the counter is unavailable the whole quota fills the slices") {
+TEST_CASE("while the counter is unavailable, the whole quota flows into the slices") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(3);
   slice.tokens = 0;
@@ -32,7 +34,7 @@
   CHECK(slice.tokens == Approx(1));
 }
 
-TEST_CASE("surplus moves from the slice to the pool and returns only if it was surely not added") {
+TEST_CASE("a contributed surplus returns to the slice only if the counter certainly did not add it") {
   for (const Outcome outcome : {Outcome::success, Outcome::rejected, Outcome::timed_out}) {
     Fixture fixture;
     QuotaSlice& slice = fixture.slice(2);
@@ -43,13 +45,13 @@
     CHECK(fixture.effects.counter_amounts[0] == Approx(slice.tokens - 20));
     fixture.balancer.on_counter_reply(0s, {fixture.effects.counter_name, outcome, 0});
     CHECK(slice.tokens - fixture.effects.counter_amounts[0] * (outcome != Outcome::rejected) == Approx(20));
-    slice.demand = 1000;
+    slice.demand_rate = 1000;
     fixture.modules.quota().pool().contribute_surplus("c", slice, 0s);
     CHECK(fixture.effects.counter_amounts.size() == 1);
   }
 }
 
-TEST_CASE("without a pool any tokens admit one request; then requests are rejected at once") {
+TEST_CASE("without a pool any positive balance admits one request, and the next is rejected immediately") {
   PolicySettings settings = default_settings();
   settings.capabilities.counter = false;
   Fixture fixture(settings);
@@ -61,7 +63,7 @@
   CHECK(fixture.slice(3).tokens == Approx(-3.5));
 }
 
-TEST_CASE("actual units correct the slice, below zero if need be") {
+TEST_CASE("reported actual units are charged to the slice, even if its tokens become negative") {
   PolicySettings settings = default_settings();
   settings.settles_units = true;
   Fixture fixture(settings);
@@ -73,7 +75,7 @@
   CHECK(fixture.slice(3).tokens == Approx(-6));
 }
 
-TEST_CASE("a gateway that restarts finds its ceiling tokens empty") {
+TEST_CASE("a restarted gateway starts without ceiling tokens") {
   Fixture fixture;
   fixture.add_worker(1);
   fixture.balancer.on_request(0s, {1, "c", 0, 1, 1, 0, 3, 3s, false});
@@ -83,7 +85,7 @@
   CHECK(fixture.modules.quota().slice("c", 1, 3, 100ms).ceiling_tokens == Approx(1));
 }
 
-TEST_CASE("a plan's concurrent attempts are shared among the gateways and counted until each ends") {
+TEST_CASE("the gateways share a plan's limit on concurrent attempts, and each attempt counts until it ends") {
   PolicySettings settings = default_settings();
   settings.plans[0].max_concurrent = 3;
   Fixture fixture(settings);
--- a/test/policy/support.hpp
+++ b/test/policy/support.hpp
@@ -1,4 +1,4 @@
-// Fixture for the tests of the policy modules: a LoadBalancer whose modules can be set up and looked at
+// Fixture for the tests of the policy modules: a LoadBalancer whose modules the tests can modify and inspect
 // directly.
 #pragma once
 #include <string>
@@ -11,12 +11,12 @@
 
 using namespace std::chrono_literals;
 
-// Records what a LoadBalancer requests.
+// Records the effects that a LoadBalancer requests.
 struct RecordingEffects : Effects {
-  std::vector<std::string> actions;  // such as "send 1 to 7"
-  std::vector<double> counter_amounts;
-  std::string counter_name;  // of the last call
-  std::vector<std::pair<int, std::string>> gossip;
+  std::vector<std::string> actions;                 // such as "send 1 to 7": request 1 to worker 7
+  std::vector<double> counter_amounts;              // units added by each call to the counter
+  std::string counter_name;                         // the name in the last call to the counter
+  std::vector<std::pair<int, std::string>> gossip;  // peer and message
 
   void send_attempt(RequestId request, WorkerId worker, Duration) override {
     record("send", request);
@@ -44,16 +44,19 @@
   }
 };
 
+// Gives the tests access to the private parts of a QuotaPool.
 class QuotaPoolPeer {
  public:
   explicit QuotaPoolPeer(QuotaPool& pool) : pool_(pool) {}
-  void set_mean_units(double units) { pool_.mean_units_ = units; }
-  // The counter answers a take of `units` sent at `sent_at`.
-  void reply_to_take(const std::string& customer, double units, double total, double missing_units,
+  void set_mean_request_units(double units) { pool_.mean_request_units_ = units; }
+  // Delivers the counter's reply, a count of `total`, to a take of `units` by request 1. `shortfall`: units
+  // that the request needs in addition to the slice's tokens.
+  void reply_to_take(const std::string& customer, double units, double total, double shortfall,
                      Duration sent_at) {
     const CounterCall call{CounterPurpose::take_for_request, customer, units, 1, units, sent_at};
-    pool_.on_taken(call, customer + ":0", total, missing_units, sent_at);
+    pool_.on_take_reply(call, customer + ":0", total, shortfall, sent_at);
   }
+  // Adds a contribution of no units that awaits the counter's reply.
   void add_pending_contribution(const std::string& name, const std::string& customer, Duration sent_at) {
     pool_.pending_calls_[name].push_back({CounterPurpose::contribute_surplus, customer, 0, 0, 0, sent_at});
   }
@@ -62,6 +65,7 @@
   QuotaPool& pool_;
 };
 
+// Gives the tests access to the private parts of a QuotaAllocator.
 class QuotaAllocatorPeer {
  public:
   explicit QuotaAllocatorPeer(QuotaAllocator& quota) : quota_(quota) {}
@@ -72,6 +76,7 @@
   QuotaAllocator& quota_;
 };
 
+// Gives the tests access to the modules of a LoadBalancer.
 class LoadBalancerPeer {
  public:
   explicit LoadBalancerPeer(LoadBalancer& balancer) : balancer_(balancer) {}
@@ -89,8 +94,8 @@
   LoadBalancer& balancer_;
 };
 
-// Three gateways; routes of each idempotency (0 idempotent, 1 keyed within a cell, 2 non-idempotent); plans
-// without (0) and with a ceiling (1).
+// Settings for gateway 0 of three. Route 0 is idempotent, route 1 keyed within a cell, route 2
+// non-idempotent. Plan 0 has no ceiling, plan 1 has one.
 inline PolicySettings default_settings() {
   PolicySettings settings;
   settings.routes.resize(3);
@@ -137,7 +142,7 @@
   QuotaAllocatorPeer quota;
   QuotaPoolPeer pool;
 
-  // A ready worker with a concurrency limit of 4.
+  // Announces a worker, and gives it a concurrency limit of 4.
   Worker& add_worker(WorkerId id, WorkerStatus status = WorkerStatus::ready, Duration started_at = 0s) {
     WorkerRegistry& workers = modules.workers();
     workers.begin_list(EndpointListKind::delta);
@@ -148,7 +153,7 @@
     return worker;
   }
 
-  // A request of one unit by the customer, due at 900 ms.
+  // Adds an open request of one unit from the customer, with its deadline at 900 ms.
   Request& add_request(RequestId id, std::size_t route) {
     Request& request = modules.requests().insert(id);
     request.route = route;
@@ -159,19 +164,20 @@
     return request;
   }
 
-  // The slice of the customer on plan 0.
-  QuotaSlice& slice(int spread, Duration now = 0s) {
-    return modules.quota().slice(kCustomer, 0, spread, now);
+  // Returns the customer's slice on plan 0, and creates it if there is none.
+  QuotaSlice& slice(int gateway_spread, Duration now = 0s) {
+    return modules.quota().slice(kCustomer, 0, gateway_spread, now);
   }
 
-  // A request of the customer for route 0 and plan 0 arrives.
-  void arrive(RequestId id, double units, int spread, bool is_retry = false, Duration now = 0s) {
-    balancer.on_request(now, {id, kCustomer, 0, 0, units, 0, spread, 3s, is_retry});
+  // Delivers a request from the customer for route 0 on plan 0.
+  void arrive(RequestId id, double units, int gateway_spread, bool is_retry = false, Duration now = 0s) {
+    balancer.on_request(now, {id, kCustomer, 0, 0, units, 0, gateway_spread, 3s, is_retry});
   }
 
   const std::string& last_action() const { return effects.actions.back(); }
 };
 
+// An attempt at worker 7 in cell 3, sent at 100 ms.
 inline Attempt make_attempt(bool in_flight, bool may_have_executed) {
   return {7, {}, 3, 100ms, in_flight, may_have_executed};
 }
