--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -10,23 +10,25 @@
 
 using namespace std::chrono_literals;
 
-// A timer that fires this late tells that the process stood still.
-constexpr Duration kProcessPause = 100ms;
-// Well within the time after which a polled list counts as out of date.
-constexpr Duration kMaxPollRetry = 1s;
+// If the timer is overdue by more than this, the process was suspended in the meantime.
+constexpr Duration kProcessPauseThreshold = 100ms;
+// After a failed poll the endpoint list is polled again after this time or a quarter of the poll deadline,
+// whichever is shorter, so that the list does not become out of date.
+constexpr Duration kMaxPollRetryDelay = 1s;
 constexpr int kPollRetryDivisor = 4;
-// Requests queued beside as many as are in flight.
-constexpr std::size_t kMinimumQueue = 4;
-// Queued requests that find no worker before the rest of the queue is left for later.
-constexpr int kMaxQueueMisses = 4;
-// Above these loads of the fleet no request is admitted beyond its quota, and none is retried that may have
-// been executed.
-constexpr double kOverQuotaLoad = 0.5, kRetryLoad = 0.9;
+// The queue may hold this many requests more than there are attempts in flight.
+constexpr std::size_t kMinQueueLimit = 4;
+// After this many queued requests for which no worker is found, the rest of the queue is not tried.
+constexpr int kMaxUnplacedRequests = 4;
+// From this load() on, requests over quota are not admitted.
+constexpr double kMaxOverQuotaLoad = 0.5;
+// Above this load(), requests that may have been executed are not retried.
+constexpr double kMaxRetryLoad = 0.9;
 
 }  // namespace
 
-// A condition and what is done while it holds. After each one the rules are gone through from the first
-// again.
+// An action that is repeated while its condition holds. After each action, apply_rules() checks all
+// conditions again, starting with the first rule.
 struct LoadBalancer::Rule {
   bool (*holds)(const LoadBalancer&);
   void (LoadBalancer::*apply)();
@@ -36,22 +38,24 @@
   using Self = const LoadBalancer&;
   static constexpr Rule kRules[] = {
       {[](Self self) { return self.requests_.earliest_deadline() <= self.now_; },
-       &LoadBalancer::answer_overdue},
-      {[](Self self) { return !self.admissions_.empty(); }, &LoadBalancer::admit_next},
+       &LoadBalancer::answer_overdue_request},
+      {[](Self self) { return !self.pending_admissions_.empty(); }, &LoadBalancer::admit_next},
       {[](Self self) { return self.capacity_changed_ && !self.requests_.queue().empty(); },
        &LoadBalancer::send_queued},
       {[](Self self) { return self.requests_.queue().size() > self.queue_limit(); },
        &LoadBalancer::shed_excess},
-      {[](Self self) { return !self.endpoint_polls_.empty() && *self.endpoint_polls_.begin() <= self.now_; },
+      {[](Self self) {
+         return !self.endpoint_poll_times_.empty() && *self.endpoint_poll_times_.begin() <= self.now_;
+       },
        &LoadBalancer::poll_endpoints},
       {[](Self self) { return self.quota_.next_rebalance() <= self.now_; }, &LoadBalancer::rebalance_quota},
       {[](Self self) { return self.next_timer() < self.timer_; }, &LoadBalancer::update_timer},
   };
   const Rule* rule = std::begin(kRules);
   while (rule != std::end(kRules)) {
-    const bool fires = rule->holds(*this);
-    if (fires) (this->*rule->apply)();
-    rule = fires ? std::begin(kRules) : rule + 1;
+    const bool applies = rule->holds(*this);
+    if (applies) (this->*rule->apply)();
+    rule = applies ? std::begin(kRules) : rule + 1;
   }
 }
 
@@ -70,12 +74,12 @@
       selector_(settings_, workers_, subset_, slow_start_, limiter_, retry_policy_, random_),
       quota_(settings_, random_, effects) {
   routes_.resize(settings_.routes.size());
-  if (settings_.capabilities.polls_endpoints) endpoint_polls_.insert(now);
+  if (settings_.capabilities.polls_endpoints) endpoint_poll_times_.insert(now);
 }
 
 void LoadBalancer::begin_event(Duration now) {
   now_ = now;
-  if (timer_ < now - kProcessPause) observer_.process_resumed(now);
+  if (timer_ < now - kProcessPauseThreshold) observer_.process_resumed(now);
 }
 
 // ---- Timer
@@ -92,8 +96,8 @@
 }
 
 Duration LoadBalancer::next_timer() const {
-  const Duration poll = endpoint_polls_.empty() ? Duration::max() : *endpoint_polls_.begin();
-  return std::min({requests_.earliest_deadline(), poll, quota_.next_rebalance()});
+  const Duration next_poll = endpoint_poll_times_.empty() ? Duration::max() : *endpoint_poll_times_.begin();
+  return std::min({requests_.earliest_deadline(), next_poll, quota_.next_rebalance()});
 }
 
 // ---- Endpoint list
@@ -113,14 +117,14 @@
   if (workers_.end_list(now)) {
     capacity_changed_ = true;
   } else if (settings_.capabilities.polls_endpoints) {
-    const Duration retry = settings_.contract.poll_deadline / kPollRetryDivisor;
-    endpoint_polls_.insert(now + std::min<Duration>(kMaxPollRetry, retry));
+    const Duration retry_delay = settings_.contract.poll_deadline / kPollRetryDivisor;
+    endpoint_poll_times_.insert(now + std::min<Duration>(kMaxPollRetryDelay, retry_delay));
   }
   apply_rules();
 }
 
 void LoadBalancer::poll_endpoints() {
-  endpoint_polls_.erase(endpoint_polls_.begin());
+  endpoint_poll_times_.erase(endpoint_poll_times_.begin());
   effects_.subscribe_endpoints(true);
 }
 
@@ -152,13 +156,13 @@
   QuotaSlice& slice = quota_.slice(request.customer, request.plan, incoming.gateway_spread, now);
   slice.first_gateway = incoming.first_gateway;
   const QuotaVerdict verdict = quota_.check(request, slice, incoming.is_retry, now);
-  const bool permitted = quota_.slices().permits_attempt(request, slice);
+  const bool attempt_permitted = quota_.slices().permits_attempt(request, slice);
   if (request.deadline <= now) {
-    answer_unserved(id, settings_.capabilities.max_retry_after);
-  } else if (verdict == QuotaVerdict::ask_pool && permitted && now >= slice.next_pool_call) {
+    reject_or_fail(id, settings_.capabilities.max_retry_after);
+  } else if (verdict == QuotaVerdict::ask_pool && attempt_permitted && now >= slice.next_pool_call) {
     quota_.pool().ask(id, request, slice, now);
   } else {
-    const bool within_quota = verdict == QuotaVerdict::within_quota && permitted;
+    const bool within_quota = verdict == QuotaVerdict::within_quota && attempt_permitted;
     apply_quota(id, within_quota, quota_.slices().time_to_cover(slice, request.units));
   }
   apply_rules();
@@ -173,13 +177,15 @@
   request.customer = std::string(incoming.customer);
   request.units = incoming.units;
   request.queue_rank = queue_rank(request);
-  request.over_quota = true;  // until its units are taken from the quota
+  request.over_quota = true;  // until its units are charged to the quota
   if (route.mean_latency() > 0) overload_.record_rank(request.queue_rank);
   requests_.set_deadline(incoming.id, timing_.answer_deadline(incoming, now_));
   return request;
 }
 
-// Weight for its work, without the plan's factor: no plan is to fail alone.
+// The route's priority weight times its mean units, per second of its mean latency. It is negated because the
+// request with the lowest rank is sent first. The quota plan is left out, so that an overload does not fail
+// the requests of one plan only.
 double LoadBalancer::queue_rank(const Request& request) const {
   const RouteStatistics& route = routes_[request.route];
   return -settings_.routes[request.route].priority_weight * route.mean_units() /
@@ -189,30 +195,30 @@
 void LoadBalancer::apply_quota(RequestId id, bool within_quota, Duration retry_after) {
   Request& request = requests_.at(id);
   const QuotaPlan& plan = settings_.plans[request.plan];
-  const bool overage_pays = plan.overage_value > plan.overage_cost;
-  if (!within_quota && (!overage_pays || load() >= kOverQuotaLoad)) {
-    answer_unserved(id, retry_after);
+  const bool overage_is_profitable = plan.overage_value > plan.overage_cost;
+  if (!within_quota && (!overage_is_profitable || load() >= kMaxOverQuotaLoad)) {
+    reject_or_fail(id, retry_after);
     return;
   }
   request.over_quota = !within_quota;
   if (within_quota) {
     quota_.slices().charge(request);
   } else {
-    request.queue_rank = 0;  // behind everything within a quota
+    request.queue_rank = 0;  // after all requests within their quotas, which have negative ranks
   }
-  admissions_.push_back(id);
+  pending_admissions_.push_back(id);
 }
 
 void LoadBalancer::admit_next() {
-  const RequestId id = admissions_.front();
-  admissions_.pop_front();
+  const RequestId id = pending_admissions_.front();
+  pending_admissions_.pop_front();
   const Request* request = requests_.find(id);
   if (request == nullptr) return;
   const bool in_flight = std::any_of(request->attempts.begin(), request->attempts.end(),
                                      [](const Attempt& attempt) { return attempt.in_flight; });
   if (in_flight) return;
   if (!may_queue(*request)) {
-    answer_unserved(id, settings_.capabilities.max_retry_after);
+    reject_or_fail(id, settings_.capabilities.max_retry_after);
     return;
   }
   requests_.enqueue(id);
@@ -224,34 +230,33 @@
   const bool may_have_executed =
       std::any_of(request.attempts.begin(), request.attempts.end(),
                   [](const Attempt& attempt) { return attempt.may_have_executed; });
-  if (may_have_executed && load() > kRetryLoad) return false;
+  if (may_have_executed && load() > kMaxRetryLoad) return false;
   return overload_.admits(request.queue_rank, random_);
 }
 
 void LoadBalancer::send_queued() {
   capacity_changed_ = false;
-  int misses = 0;
+  int unplaced = 0;
   const RequestTable::Queue& queue = requests_.queue();
-  for (auto next = queue.begin(); next != queue.end() && misses < kMaxQueueMisses;) {
+  for (auto next = queue.begin(); next != queue.end() && unplaced < kMaxUnplacedRequests;) {
     const RequestId id = next->second;
     ++next;
-    if (!try_send(id)) ++misses;
+    if (!try_send(id)) ++unplaced;
   }
 }
 
-// False if the request stays queued.
 bool LoadBalancer::try_send(RequestId id) {
   Request& request = requests_.at(id);
   QuotaSlice& slice = quota_.slice(request.customer, request.plan, 1, now_);
   quota_.slices().refill(slice, now_);
   if (const auto wait = quota_.slices().ceiling_wait(request, slice)) {
-    answer_unserved(id, *wait);
+    reject_or_fail(id, *wait);
     return true;
   }
-  // The time in which a repeat is discarded may have passed while the request was queued.
+  // While the request was queued, the deduplication window of an earlier attempt may have ended.
   const bool may_send = retry_policy_.allowed_actions(request, now_).send;
   if (!may_send || now_ + timing_.expected_latency(request) > request.deadline) {
-    answer_unserved(id, settings_.capabilities.max_retry_after);
+    reject_or_fail(id, settings_.capabilities.max_retry_after);
     return true;
   }
   const std::optional<WorkerId> worker = selector_.select(request, now_);
@@ -275,14 +280,14 @@
 double LoadBalancer::load() const { return std::max(overload_.shed_share(), workers_.utilization()); }
 
 std::size_t LoadBalancer::queue_limit() const {
-  return kMinimumQueue + static_cast<std::size_t>(workers_.in_flight());
+  return kMinQueueLimit + static_cast<std::size_t>(workers_.in_flight());
 }
 
 void LoadBalancer::shed_excess() {
-  answer_unserved(requests_.queue().rbegin()->second, settings_.capabilities.max_retry_after);
+  reject_or_fail(requests_.queue().rbegin()->second, settings_.capabilities.max_retry_after);
 }
 
-// ---- Ends
+// ---- Responses and final answers
 
 void LoadBalancer::on_response_start(Duration now, RequestId id, std::size_t) {
   begin_event(now);
@@ -312,16 +317,16 @@
   }
   if (result.outcome == Outcome::success) quota_.slices().correct_units(*request, result.actual_units);
   if (result.request_finished) {
-    forget(result.request);
+    remove_request(result.request);
   } else {
-    admissions_.push_back(result.request);
+    pending_admissions_.push_back(result.request);
   }
   apply_rules();
 }
 
 void LoadBalancer::on_client_disconnect(Duration now, RequestId id) {
   begin_event(now);
-  if (requests_.find(id) != nullptr) forget(id);
+  if (requests_.find(id) != nullptr) remove_request(id);
   apply_rules();
 }
 
@@ -335,33 +340,32 @@
   apply_rules();
 }
 
-void LoadBalancer::answer_overdue() {
-  answer_unserved(requests_.next_due(), settings_.capabilities.max_retry_after);
+void LoadBalancer::answer_overdue_request() {
+  reject_or_fail(requests_.next_due(), settings_.capabilities.max_retry_after);
 }
 
-// Gives the request its final answer, which is no response of a worker.
-void LoadBalancer::answer_unserved(RequestId id, Duration retry_after) {
+void LoadBalancer::reject_or_fail(RequestId id, Duration retry_after) {
   const Request& request = requests_.at(id);
   const AllowedActions allowed = retry_policy_.allowed_actions(request, now_);
   for (const Attempt& attempt : request.attempts) {
-    // No response by now says of the worker what a time-out would.
     if (!attempt.in_flight) continue;
+    // The gateway stops waiting for the worker's response, so the attempt counts as timed out.
     if (Worker* worker = workers_.find(attempt.worker)) {
       observer_.record(*worker, request, Outcome::timed_out, now_ - attempt.sent_at, now_);
     }
   }
   const Capabilities& capabilities = settings_.capabilities;
-  const Duration longest = capabilities.retry_after ? capabilities.max_retry_after : Duration(0);
+  const Duration max_retry_after = capabilities.retry_after ? capabilities.max_retry_after : Duration(0);
   if (allowed.reject) {
-    effects_.reject(id, std::clamp(retry_after, Duration(0), longest));
+    effects_.reject(id, std::clamp(retry_after, Duration(0), max_retry_after));
   } else {
     effects_.fail(id);
   }
   quota_.slices().refund(request);
-  forget(id);
+  remove_request(id);
 }
 
-void LoadBalancer::forget(RequestId id) {
+void LoadBalancer::remove_request(RequestId id) {
   const Request& request = requests_.at(id);
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     if (!request.attempts[i].in_flight) continue;
@@ -374,10 +378,10 @@
 bool LoadBalancer::may_send_attempt(Duration now, RequestId id, std::size_t attempt) const {
   const Request* request = requests_.find(id);
   if (request == nullptr || attempt >= request->attempts.size()) return false;
-  const Attempt& waiting = request->attempts[attempt];
-  const Worker* worker = workers_.find(waiting.worker);
+  const Attempt& delayed = request->attempts[attempt];
+  const Worker* worker = workers_.find(delayed.worker);
   if (worker == nullptr || worker->status != WorkerStatus::ready) return false;
-  if (!slow_start_.may_still_send(*worker, waiting.sent_at, now)) return false;
+  if (!slow_start_.may_still_send(*worker, delayed.sent_at, now)) return false;
   return retry_policy_.may_still_send(*request, attempt, now);
 }
 
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -1,20 +1,20 @@
-// The decisions of one gateway: which requests are admitted, to which worker each attempt goes, when it is
-// retried and how a request is answered that cannot be served.
+// Makes the decisions of one gateway: which requests it admits, which worker each attempt is sent to, when a
+// request is retried, and how a request that no worker serves is answered.
 //
-// The program that runs a LoadBalancer reports every event by the call of that name, with the time of the
-// clock that all gateways share, and carries out what the LoadBalancer requests through Effects. A
-// LoadBalancer uses no clock, thread or input of its own, and it must not be called from within an Effects
-// call.
+// The program that embeds a LoadBalancer reports each event by calling the matching on_...() function with
+// the current time, read from the clock that all gateways share. It performs the actions that the
+// LoadBalancer requests through Effects. The LoadBalancer has no clock, threads or I/O of its own. An
+// implementation of Effects must not call the LoadBalancer.
 //
-// It wires the modules of this directory together; each of them decides one thing:
-//   QuotaAllocator      whether a customer's quota covers a request
-//   OverloadController  whether the fleet of workers bears another request
-//   RetryPolicy         what may still be done with a request
-//   WorkerSelector      which worker an attempt goes to, out of this gateway's WorkerSubset
-//   ConcurrencyLimiter, OutlierDetector, SlowStart   how much a worker is sent
-//   TimingPolicy        by when a request is answered, and how long an attempt may take
-//   AttemptObserver     what the end of an attempt teaches
-//   WorkerRegistry, RequestTable, RouteStatistics    what is known of workers, requests and routes
+// The LoadBalancer connects the modules of this directory:
+//   QuotaAllocator      decides whether a customer's quota covers a request
+//   OverloadController  decides whether the workers as a whole can accept another request
+//   RetryPolicy         decides which further actions are allowed for a request
+//   WorkerSelector      selects the worker for an attempt, normally from this gateway's WorkerSubset
+//   ConcurrencyLimiter, OutlierDetector, SlowStart   limit the attempts sent to each worker
+//   TimingPolicy        sets the deadline of each request and the time-out of each attempt
+//   AttemptObserver     updates the other modules with the outcome of each attempt
+//   WorkerRegistry, RequestTable, RouteStatistics    hold the state of workers, requests and routes
 #pragma once
 #include <deque>
 #include <set>
@@ -42,65 +42,82 @@
 
 class LoadBalancer {
  public:
-  // `effects` has to outlive the LoadBalancer. `seed` is that of its random source.
+  // `effects` must outlive the LoadBalancer. `seed` initializes its random source.
   LoadBalancer(PolicySettings settings, std::uint32_t seed, Duration now, Effects& effects);
   ~LoadBalancer() = default;
   LoadBalancer(const LoadBalancer&) = delete;
   LoadBalancer& operator=(const LoadBalancer&) = delete;
 
-  // An endpoint list comes as one begin, one call for each of its entries, and one end.
+  // An endpoint list is reported as one begin call, one on_endpoint() call per entry, and one end call.
   void on_endpoint_list_begin(Duration now, EndpointListKind kind);
   void on_endpoint(Duration now, const EndpointUpdate& update);
   void on_endpoint_list_end(Duration now);
 
   void on_request(Duration now, const IncomingRequest& incoming);
-  // The first bytes of a response have been passed on, so no other answer is possible any more.
+  // The gateway has forwarded the first bytes of a response, so the request can no longer get another answer.
   void on_response_start(Duration now, RequestId id, std::size_t attempt);
   void on_attempt_end(Duration now, const AttemptResult& result);
-  // Nobody waits for the request's answer any more.
+  // The client no longer waits for the request's answer.
   void on_client_disconnect(Duration now, RequestId id);
-  // The request has to be answered within `time_left`, as the gateway may be gone afterwards. A longer time
-  // than it had changes nothing.
+  // The request must be answered within `time_left` because the gateway may have exited after that. The call
+  // never moves a deadline to a later time.
   void on_deadline_shortened(Duration now, RequestId id, Duration time_left);
 
   void on_timer(Duration now);
+  // The result of a health check does not influence any decision.
   void on_health_check_end(Duration now, WorkerId worker, Outcome outcome, Duration elapsed);
   void on_gossip(Duration now, int peer, std::string_view message);
   void on_counter_reply(Duration now, const CounterReply& reply);
 
-  // Whether an attempt whose bytes had to wait, for a connection or for buffer space, may still be written.
-  // If not, the attempt ends as Outcome::not_sent.
+  // Whether an attempt that waited for a connection or for buffer space may still be written. If not, the
+  // caller ends the attempt with Outcome::not_sent. `attempt` is an index into the request's attempts.
   bool may_send_attempt(Duration now, RequestId id, std::size_t attempt) const;
 
-  // Whether discovery has announced the worker, or it still has attempts in flight.
+  // Whether the endpoint list contains the worker, or attempts at it are still in flight.
   bool knows_worker(WorkerId id) const { return workers_.contains(id); }
 
  private:
-  friend class LoadBalancerPeer;  // gives the tests access to the modules
+  friend class LoadBalancerPeer;  // gives tests access to the modules
   struct Rule;
 
   void begin_event(Duration now);
-  // Applies the rules until none fires. Ends every event that may have made one of them fire.
+  // Applies the rules until none of their conditions holds. Every event handler that can make a condition
+  // true calls it last.
   void apply_rules();
-  void answer_overdue();
+  // Answers the request with the earliest deadline, which has passed.
+  void answer_overdue_request();
+  // Takes the first pending admission; queues its request, or answers it if it must not be queued.
   void admit_next();
+  // Sends as many queued requests as workers can be found for.
   void send_queued();
+  // Answers the last request of the queue.
   void shed_excess();
   void poll_endpoints();
   void rebalance_quota();
   void update_timer();
   Duration next_timer() const;
 
+  // Adds the request to the request table with its deadline and its queue rank.
   Request& accept(const IncomingRequest& incoming);
+  // The rank of a request within its quota; see Request::queue_rank.
   double queue_rank(const Request& request) const;
+  // Admits the request if it is within its quota or if serving it over quota is profitable. Otherwise answers
+  // it with the advice to retry after `retry_after`.
   void apply_quota(RequestId id, bool within_quota, Duration retry_after);
+  // Whether the request may be queued for an attempt. May draw a random number.
   bool may_queue(const Request& request);
+  // Sends an attempt of the request, or answers it if no attempt may be sent any more. Returns false if no
+  // worker was found; the request stays queued then.
   bool try_send(RequestId id);
   void send_attempt(RequestId id, Request& request, WorkerId worker);
-  void answer_unserved(RequestId id, Duration retry_after);
-  void forget(RequestId id);
+  // Gives the request its final answer without a worker's response: a rejection if the client may safely send
+  // the request again, an error otherwise. Removes the request.
+  void reject_or_fail(RequestId id, Duration retry_after);
+  // Removes the request from the request table and cancels its attempts in flight.
+  void remove_request(RequestId id);
+  // The number of requests that may be queued.
   std::size_t queue_limit() const;
-  // From 0, an idle fleet, to 1 and above.
+  // Load of all workers as this gateway sees it: 0 is idle, 1 and above is overloaded.
   double load() const;
 
   PolicySettings settings_;
@@ -109,7 +126,8 @@
   RandomSource random_;
   std::vector<RouteStatistics> routes_;
   RequestTable requests_;
-  std::deque<RequestId> admissions_;  // requests within quota, and those whose attempt has failed
+  // Requests that passed the quota check or whose attempt has ended without a final answer.
+  std::deque<RequestId> pending_admissions_;
   WorkerSubset subset_;
   SlowStart slow_start_;
   WorkerRegistry workers_;
@@ -120,9 +138,10 @@
   TimingPolicy timing_;
   WorkerSelector selector_;
   QuotaAllocator quota_;
-  std::multiset<Duration> endpoint_polls_;  // times at which the endpoint list is to be polled
-  bool capacity_changed_ = false;     // queued requests may have found a worker since they were last tried
-  Duration timer_ = Duration::max();  // as set through Effects
+  std::multiset<Duration> endpoint_poll_times_;  // when to poll the endpoint list next
+  // A worker may have become available since send_queued() last ran.
+  bool capacity_changed_ = false;
+  Duration timer_ = Duration::max();  // time last passed to Effects::set_timer(); max: no timer is set
 };
 
 }  // namespace ironquay
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -7,10 +7,10 @@
 
 using namespace std::chrono_literals;
 
-// Time for a repeat to reach its worker.
+// The time that a repeat may take to reach its worker.
 constexpr Duration kTransitAllowance = 10ms;
 
-const Attempt* first_that_may_have_executed(const Request& request) {
+const Attempt* first_possibly_executed_attempt(const Request& request) {
   const auto found = std::find_if(request.attempts.begin(), request.attempts.end(),
                                   [](const Attempt& attempt) { return attempt.may_have_executed; });
   return found == request.attempts.end() ? nullptr : &*found;
@@ -32,16 +32,16 @@
   if (static_cast<int>(request.attempts.size()) >= capabilities.max_attempts) allowed.send = false;
   if (request.streaming) allowed.send = false;
 
-  const Attempt* executed = first_that_may_have_executed(request);
+  const Attempt* executed = first_possibly_executed_attempt(request);
   if (executed == nullptr) return allowed;
   if (route.idempotency == Idempotency::non_idempotent) {
     allowed.send = false;
     allowed.reject = false;
   }
   if (route.idempotency == Idempotency::keyed) {
-    allowed.repeats = executed;
+    allowed.repeated_attempt = executed;
     if (now >= dedup_deadline(*executed, route)) allowed.send = false;
-    // The client's own retry may reach a worker outside the scope, where it would run again.
+    // A client retry may reach a worker outside the deduplication scope, which would execute it again.
     if (route.dedup_scope != DedupScope::all) allowed.reject = false;
   }
   return allowed;
@@ -70,7 +70,7 @@
   return false;
 }
 
-// The clocks of both sides may each be a tick apart.
+// The clocks of the gateway and of the worker may each be off by one tick.
 Duration RetryPolicy::dedup_deadline(const Attempt& attempt, const Route& route) const {
   return attempt.sent_at + route.dedup_window - 2 * settings_.tick - kTransitAllowance;
 }
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,19 +1,22 @@
-// Which further actions a request permits, so that no effect happens twice.
+// Decides which further actions are allowed for a request, so that it does not take effect twice.
 //
-// Every send, wait and final answer consults these rules. They follow from the route's idempotency, the
-// attempts made so far and the platform's capabilities alone.
+// The LoadBalancer checks these rules before it queues, sends or answers a request. The rules depend only on
+// the idempotency of the route, the earlier attempts of the request and the platform's capabilities.
 #pragma once
 #include "policy/request.hpp"
 #include "policy/settings.hpp"
 
 namespace ironquay {
 
-// What may still be done with a request.
+// The actions that are still allowed for a request.
 struct AllowedActions {
-  bool send = true;    // another attempt
-  bool reject = true;  // a rejection promises the client that sending the request again is harmless
-  // The next attempt has to reach a worker that discards repeats of this one; null: any worker will do.
-  const Attempt* repeats = nullptr;
+  // Another attempt may be sent.
+  bool send = true;
+  // The client may get a rejection, which promises that it may safely send the request again.
+  bool reject = true;
+  // The next attempt must go to a worker that discards repeats of this attempt, which may have been executed.
+  // Null if any worker may be used. Points into Request::attempts.
+  const Attempt* repeated_attempt = nullptr;
 };
 
 class RetryPolicy {
@@ -22,8 +25,8 @@
 
   AllowedActions allowed_actions(const Request& request, Duration now) const;
 
-  // Whether an attempt that was decided earlier may still be written, as far as the attempts before it go.
-  // `attempt` is an index into the request's attempts.
+  // Whether an attempt that was started earlier but not written yet may still be written without executing
+  // the request twice. `attempt` is an index into the request's attempts.
   bool may_still_send(const Request& request, std::size_t attempt, Duration now) const;
 
   // Whether a worker in this zone and cell discards a repeat of `attempt`.
@@ -31,7 +34,7 @@
                               std::int64_t cell);
 
  private:
-  // A repeat of `attempt` has to be sent before this time.
+  // A repeat of `attempt` must be sent before this time to arrive while the worker still discards it.
   Duration dedup_deadline(const Attempt& attempt, const Route& route) const;
 
   const PolicySettings& settings_;
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,45 +1,48 @@
-// Slow start: a worker that has just started receives only what its growing capacity bears.
+// Slow start: limits the attempts sent to a worker that has just started and does not have its full capacity
+// yet (a warming worker).
 //
-// A warming worker that all gateways together overload fails and stays down. Each gateway keeps a token
-// bucket for each such worker, whose rate is what a warm worker receives from this gateway times the share of
-// its capacity that the warming worker has by now. docs/design.md shows that the buckets of all gateways
-// together keep to the platform's limit.
+// If the gateways together overload a warming worker, it fails and does not recover. Each gateway therefore
+// keeps a token bucket for each warming worker, the slow-start budget. Its rate is the rate at which this
+// gateway sends attempts to a warm worker, times the share of its full capacity that the warming worker
+// already has. docs/design.md shows that the buckets of all gateways together keep to the platform's limit.
 #pragma once
 #include "policy/settings.hpp"
 #include "policy/worker.hpp"
 
 namespace ironquay {
 
-// What the budgets depend on beside the worker itself.
+// The inputs of the slow-start budgets that are the same for all workers.
 struct SlowStartLoad {
   double send_rate = 0;           // this gateway's attempts per second to warm workers
-  std::size_t subset_size = 1;    // workers among which it spreads them
-  std::size_t ready_workers = 0;  // all of them
-  std::size_t warm_workers = 0;   // those that have their full capacity
+  std::size_t subset_size = 1;    // number of workers in this gateway's subset
+  std::size_t ready_workers = 0;  // number of ready workers, warm or not
+  std::size_t warm_workers = 0;   // number of ready workers with their full capacity
 };
 
 class SlowStart {
  public:
   explicit SlowStart(const PolicySettings& settings) : settings_(settings) {}
 
-  // The least share of its full capacity that the worker has by now; 1 for a warm worker.
+  // The share of its full capacity that the worker is guaranteed to have now; 1 for a warm worker.
   double capacity_share(const Worker& worker, Duration now) const;
   bool is_warm(const Worker& worker, Duration now) const { return capacity_share(worker, now) >= 1; }
 
-  // Adds to the worker's budget what has accrued since the last call. Workers outside this gateway's subset
-  // accrue at the minimum rate: what hundreds of gateways save up for one worker would otherwise arrive
-  // together.
+  // Adds to the worker's budget the attempts that have accrued since the last call. The budget of a worker
+  // outside this gateway's subset accrues at the minimum rate only. Otherwise hundreds of gateways could
+  // accumulate budgets for one worker and spend them at the same time.
   void accrue_budget(Worker& worker, bool in_subset, const SlowStartLoad& load, Duration now) const;
 
   // Whether the worker may be sent an attempt now; always true for a warm worker.
   bool may_send(const Worker& worker, Duration now) const;
 
-  // Whether an attempt decided at `decided_at` may still be written. If it had to wait for its connection for
-  // long, budgets of that whole time would be spent at once.
+  // Whether an attempt that was charged to the budget at `decided_at` may still be written. Attempts that
+  // wait for a connection for a long time would reach the worker together, in excess of its rate.
   bool may_still_send(const Worker& worker, Duration decided_at, Duration now) const;
 
  private:
-  bool is_own_turn(Duration now) const;
+  // Whether now is this gateway's time slot. Each overload window is divided into one slot per gateway, in
+  // the order of their indexes.
+  bool is_in_time_slot(Duration now) const;
 
   const PolicySettings& settings_;
 };
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -5,62 +5,67 @@
 namespace ironquay {
 namespace {
 
-// If neither of two workers can take the attempt, two others are drawn. The last draws are among all workers.
-constexpr int kDraws = 8;
+// The number of times that a pair of workers is drawn until the attempt can be sent to one of the pair.
+constexpr int kMaxDraws = 8;
+// The first draws select from this gateway's subset of the workers, the remaining ones from all ready
+// workers.
 constexpr int kDrawsInSubset = 6;
-// A worker in another zone counts as half an attempt more where crossing zones has a cost.
-constexpr double kCrossZoneLoad = 0.5;
+// Attempts added to the load of a worker in another zone if traffic between zones has a cost.
+constexpr double kCrossZoneAttempts = 0.5;
 
 }  // namespace
 
 std::optional<WorkerId> WorkerSelector::select(const Request& request, Duration now) {
   const std::size_t ready = registry_.ready().size();
   if (ready == 0) return std::nullopt;
-  for (int draw = 0; draw < kDraws; ++draw) {
-    const bool among_all =
-        draw >= kDrawsInSubset || retry_policy_.allowed_actions(request, now).repeats != nullptr;
-    const std::size_t among = among_all ? ready : subset_.size(ready);
-    const std::size_t first = random_.below(among);
-    const std::size_t second = (first + 1 + random_.below(std::max<std::size_t>(1, among - 1))) % among;
-    const bool first_can = can_take_next(request, first, now);
-    const bool second_can = can_take_next(request, second, now);
-    if (!first_can && !second_can) continue;
-    const WorkerId one = worker_at(first);
-    const WorkerId other = worker_at(second);
-    return first_can && (!second_can || load(one) <= load(other)) ? one : other;
+  for (int draw = 0; draw < kMaxDraws; ++draw) {
+    // Only some workers discard the repeat of an earlier attempt, and the subset may contain none of them.
+    const bool use_all_workers =
+        draw >= kDrawsInSubset || retry_policy_.allowed_actions(request, now).repeated_attempt != nullptr;
+    const std::size_t candidates = use_all_workers ? ready : subset_.size(ready);
+    const std::size_t first = random_.below(candidates);
+    const std::size_t distance = 1 + random_.below(std::max<std::size_t>(1, candidates - 1));
+    const std::size_t second = (first + distance) % candidates;
+    const bool first_usable = check_candidate(request, first, now);
+    const bool second_usable = check_candidate(request, second, now);
+    if (!first_usable && !second_usable) continue;
+    const WorkerId first_worker = worker_at_position(first);
+    const WorkerId second_worker = worker_at_position(second);
+    const bool use_first =
+        first_usable && (!second_usable || load_score(first_worker) <= load_score(second_worker));
+    return use_first ? first_worker : second_worker;
   }
   return std::nullopt;
 }
 
-bool WorkerSelector::can_take(const Request& request, WorkerId id, Duration now) const {
+bool WorkerSelector::can_send_to(const Request& request, WorkerId id, Duration now) const {
   const Worker& worker = registry_.at(id);
   if (worker.status != WorkerStatus::ready) return false;
   if (!limiter_.may_send(worker, now) || !slow_start_.may_send(worker, now)) return false;
   const AllowedActions allowed = retry_policy_.allowed_actions(request, now);
-  if (!allowed.send || allowed.repeats == nullptr) return allowed.send;
+  if (!allowed.send || allowed.repeated_attempt == nullptr) return allowed.send;
   const Route& route = settings_.routes[request.route];
-  return retry_policy_.discards_repeat(route, *allowed.repeats, worker.zone, worker.cell);
+  return retry_policy_.discards_repeat(route, *allowed.repeated_attempt, worker.zone, worker.cell);
 }
 
-// A retry goes to another worker than the attempt before it, if there is one.
-bool WorkerSelector::can_take_next(const Request& request, std::size_t position, Duration now) {
+bool WorkerSelector::check_candidate(const Request& request, std::size_t position, Duration now) {
   const std::size_t ready = registry_.ready().size();
-  const WorkerId id = worker_at(position);
+  const WorkerId id = worker_at_position(position);
+  // A retry uses a different worker than the previous attempt if more than one is ready.
   if (ready > 1 && !request.attempts.empty() && request.attempts.back().worker == id) return false;
   const bool in_subset = position < subset_.size(ready);
   slow_start_.accrue_budget(registry_.at(id), in_subset, slow_start_load(), now);
-  return can_take(request, id, now);
+  return can_send_to(request, id, now);
 }
 
-double WorkerSelector::load(WorkerId id) const {
+double WorkerSelector::load_score(WorkerId id) const {
   const Worker& worker = registry_.at(id);
   const bool crosses_zone = settings_.cross_zone_cost > 0 && worker.zone != settings_.zone;
-  const double attempts = worker.in_flight + 1 + (crosses_zone ? kCrossZoneLoad : 0);
+  const double attempts = worker.in_flight + 1 + (crosses_zone ? kCrossZoneAttempts : 0);
   return attempts * worker.relative_latency / worker.capacity_share;
 }
 
-// Positions count from the start of this gateway's subset.
-WorkerId WorkerSelector::worker_at(std::size_t position) const {
+WorkerId WorkerSelector::worker_at_position(std::size_t position) const {
   const std::size_t ready = registry_.ready().size();
   return registry_.ready()[(subset_.offset(ready) + position) % ready];
 }
--- a/src/policy/worker_selector.hpp
+++ b/src/policy/worker_selector.hpp
@@ -1,4 +1,5 @@
-// Picks the worker for an attempt: the less loaded of two random ones that can take it.
+// Selects the worker for an attempt: draws two workers at random and selects the less loaded one (power of
+// two choices).
 #pragma once
 #include <optional>
 
@@ -26,16 +27,21 @@
         retry_policy_(retry_policy),
         random_(random) {}
 
-  // Empty if none of the workers that were drawn can take an attempt of the request.
+  // Empty if an attempt of the request can be sent to none of the workers drawn. Draws random numbers.
   std::optional<WorkerId> select(const Request& request, Duration now);
 
-  // Whether the worker can take an attempt of the request now.
-  bool can_take(const Request& request, WorkerId id, Duration now) const;
+  // Whether an attempt of the request can be sent to the worker now.
+  bool can_send_to(const Request& request, WorkerId id, Duration now) const;
 
  private:
-  bool can_take_next(const Request& request, std::size_t position, Duration now);
-  double load(WorkerId id) const;
-  WorkerId worker_at(std::size_t position) const;
+  // Updates the slow-start budget of the worker at the position and returns whether the next attempt can be
+  // sent to it.
+  bool check_candidate(const Request& request, std::size_t position, Duration now);
+  // Attempts in flight, including the next one, weighted by the worker's latency and capacity.
+  double load_score(WorkerId id) const;
+  // The ready worker at this position, counted from the first worker of this gateway's subset.
+  WorkerId worker_at_position(std::size_t position) const;
+  // Input of SlowStart::accrue_budget().
   SlowStartLoad slow_start_load() const;
 
   const PolicySettings& settings_;
--- a/src/policy/worker_subset.cpp
+++ b/src/policy/worker_subset.cpp
@@ -8,16 +8,18 @@
 namespace ironquay {
 namespace {
 
-// Enough for a request's further attempts, also at a gateway that sends little.
-constexpr double kMinimumSize = 4;
-// Some cores' worth of attempts for each worker, shared among the gateways whose subsets hold it.
-constexpr double kInitialAttemptsPerWorker = 6;
+// Even at a gateway that sends few attempts, the subset must have other workers for the retries of a request.
+constexpr double kMinSubsetSize = 4;
+// The initial limit of the attempts in flight at one worker, divided among the gateways whose subsets contain
+// it. It keeps a few cores busy.
+constexpr double kInitialFleetLimit = 6;
+// The time constant of the exponential average that send_rate() returns.
 constexpr double kRateWindowSeconds = 2;
 
 }  // namespace
 
 std::size_t WorkerSubset::size(std::size_t ready_workers) const {
-  return std::clamp<std::size_t>(ready_workers, 1, static_cast<std::size_t>(kMinimumSize + send_rate_));
+  return std::clamp<std::size_t>(ready_workers, 1, static_cast<std::size_t>(kMinSubsetSize + send_rate_));
 }
 
 std::size_t WorkerSubset::offset(std::size_t ready_workers) const {
@@ -27,19 +29,19 @@
 
 double WorkerSubset::initial_concurrency_limit(std::size_t ready_workers) const {
   const auto subset = static_cast<double>(size(ready_workers));
-  return kInitialAttemptsPerWorker * std::max(static_cast<double>(ready_workers), subset) / subset /
+  return kInitialFleetLimit * std::max(static_cast<double>(ready_workers), subset) / subset /
          settings_.gateway_count;
 }
 
 void WorkerSubset::record_send(Duration now, bool warm) {
-  send_rate_ *= std::exp(-to_seconds(now - updated_at_) / kRateWindowSeconds);
-  updated_at_ = now;
+  send_rate_ *= std::exp(-to_seconds(now - rate_updated_at_) / kRateWindowSeconds);
+  rate_updated_at_ = now;
   if (warm) send_rate_ += 1 / kRateWindowSeconds;
 }
 
 void WorkerSubset::set_send_rate(double rate, Duration now) {
   send_rate_ = rate;
-  updated_at_ = now;
+  rate_updated_at_ = now;
 }
 
 }  // namespace ironquay
--- a/src/policy/worker_subset.hpp
+++ b/src/policy/worker_subset.hpp
@@ -1,8 +1,10 @@
-// Deterministic subsetting: each gateway prefers a few workers, so that it hears from each of them often.
+// Deterministic subsetting: each gateway prefers a small subset of the workers, so that it observes each of
+// them often.
 //
-// Among hundreds of gateways each one sees little traffic. Spread over all workers, its attempts would meet
-// one worker so rarely that what it learns of the worker would be out of date. The subsets are consecutive
-// ranges of the list of ready workers, at an offset given by the gateway's own number.
+// With hundreds of gateways, each one sends few attempts. If it spread them over all workers, it would reach
+// a given worker so rarely that its statistics about the worker would be out of date. A subset is a
+// contiguous range of the list of ready workers, which wraps around and starts at an offset given by the
+// gateway's index.
 #pragma once
 #include <cstddef>
 
@@ -12,26 +14,27 @@
 
 class WorkerSubset {
  public:
-  WorkerSubset(const PolicySettings& settings, Duration now) : settings_(settings), updated_at_(now) {}
+  WorkerSubset(const PolicySettings& settings, Duration now) : settings_(settings), rate_updated_at_(now) {}
 
-  // How many of the ready workers the subset holds: at least one, so many that each is used about once a
-  // second.
+  // The number of workers in the subset, at least one. It grows with send_rate(), so that the gateway sends
+  // about one attempt per second to each worker of the subset.
   std::size_t size(std::size_t ready_workers) const;
-  // Index of the subset's first worker in the list of ready workers.
+  // The index of the subset's first worker in the list of ready workers.
   std::size_t offset(std::size_t ready_workers) const;
-  // The concurrency limit of a worker of which nothing is known.
+  // The concurrency limit, in attempts in flight, of a worker that this gateway has not observed yet.
   double initial_concurrency_limit(std::size_t ready_workers) const;
 
-  // An attempt was sent; `warm`: to a worker that has its full capacity.
+  // Records that an attempt is sent. `warm` is true if its worker has its full capacity.
   void record_send(Duration now, bool warm);
-  // Attempts per second to warm workers, over the last two seconds or so.
+  // Attempts per second to warm workers, averaged over about the last two seconds.
   double send_rate() const { return send_rate_; }
+  // Replaces the measured rate; for tests.
   void set_send_rate(double rate, Duration now);
 
  private:
   const PolicySettings& settings_;
-  double send_rate_ = 0;
-  Duration updated_at_;
+  double send_rate_ = 0;  // attempts per second, as of `rate_updated_at_`
+  Duration rate_updated_at_;
 };
 
 }  // namespace ironquay
--- a/test/policy/endpoint_list_test.cpp
+++ b/test/policy/endpoint_list_test.cpp
@@ -13,9 +13,9 @@
   const WorkerSelector& selector = fixture.modules.selector();
   fixture.balancer.on_endpoint_list_begin(0s, EndpointListKind::delta);
   fixture.balancer.on_endpoint(0s, {1, WorkerStatus::draining, "z", 0, 1, 0s});
-  CHECK_FALSE(selector.can_take(request, 1, 0s));
+  CHECK_FALSE(selector.can_send_to(request, 1, 0s));
   fixture.balancer.on_endpoint_list_end(0s);
-  CHECK(selector.can_take(request, 2, 0s));
+  CHECK(selector.can_send_to(request, 2, 0s));
   fixture.balancer.on_endpoint_list_begin(0s, EndpointListKind::full);
   fixture.balancer.on_endpoint(0s, {3, WorkerStatus::ready, "z", 0, 1, 0s});
   fixture.balancer.on_endpoint_list_end(0s);
@@ -32,7 +32,7 @@
   fixture.balancer.on_endpoint_list_begin(0s, EndpointListKind::full);
   fixture.balancer.on_endpoint_list_end(0s);
   CHECK(workers.size() == 1);
-  CHECK_FALSE(fixture.modules.selector().can_take(fixture.add_request(1, 0), 2, 0s));
+  CHECK_FALSE(fixture.modules.selector().can_send_to(fixture.add_request(1, 0), 2, 0s));
   fixture.balancer.on_attempt_end(0s, {99, 0, 2, Outcome::connection_lost, 0s, true, 0});
   fixture.balancer.on_endpoint_list_begin(0s, EndpointListKind::delta);
   fixture.balancer.on_endpoint_list_end(0s);
--- a/test/policy/retry_policy_test.cpp
+++ b/test/policy/retry_policy_test.cpp
@@ -26,7 +26,7 @@
     CAPTURE(row.route, row.in_flight, row.may_have_executed);
     CHECK(allowed.send == row.send);
     CHECK(allowed.reject == row.reject);
-    CHECK((allowed.repeats != nullptr) == row.repeats);
+    CHECK((allowed.repeated_attempt != nullptr) == row.repeats);
   }
 }
 
@@ -52,9 +52,9 @@
   Request& request = fixture.add_request(1, 1);
   request.attempts = {make_attempt(false, true)};
   const WorkerSelector& selector = fixture.modules.selector();
-  CHECK(selector.can_take(request, 1, 200ms));
-  CHECK_FALSE(selector.can_take(request, 2, 200ms));
-  CHECK_FALSE(selector.can_take(request, 1, 100ms + 4s));
+  CHECK(selector.can_send_to(request, 1, 200ms));
+  CHECK_FALSE(selector.can_send_to(request, 2, 200ms));
+  CHECK_FALSE(selector.can_send_to(request, 1, 100ms + 4s));
 }
 
 // Incident "rare faults": an attempt decided in time was written when its connection came up, up to 1.5 s
--- a/test/policy/slow_start_test.cpp
+++ b/test/policy/slow_start_test.cpp
@@ -90,8 +90,8 @@
   Worker& worker = fixture.add_worker(1, WorkerStatus::ready, 1us);
   worker.slow_start_budget = 1;
   const Request& request = fixture.add_request(1, 0);
-  CHECK_FALSE(fixture.modules.selector().can_take(request, 1, 1400ms));
-  CHECK(fixture.modules.selector().can_take(request, 1, 2400ms));
+  CHECK_FALSE(fixture.modules.selector().can_send_to(request, 1, 1400ms));
+  CHECK(fixture.modules.selector().can_send_to(request, 1, 2400ms));
 }
 
 }  // namespace
--- a/test/policy/worker_health_test.cpp
+++ b/test/policy/worker_health_test.cpp
@@ -47,8 +47,8 @@
     fixture.modules.observer().record(worker, request, Outcome::timed_out, 200ms, i * 200ms);
   }
   CHECK(worker.concurrency_limit <= 1.0 / 8);
-  CHECK_FALSE(fixture.modules.selector().can_take(request, 1, 650ms));
-  CHECK(fixture.modules.selector().can_take(request, 1, 30s));
+  CHECK_FALSE(fixture.modules.selector().can_send_to(request, 1, 650ms));
+  CHECK(fixture.modules.selector().can_send_to(request, 1, 30s));
 }
 
 // sapporo-main big-1: healthy workers were blamed for the long responses to large requests.
