--- a/src/policy/attempt_observer.cpp
+++ b/src/policy/attempt_observer.cpp
@@ -7,18 +7,20 @@
 namespace ironquay {
 namespace {
 
-// A response's own work varies more than its worker does.
+// Weights of a new sample in the exponential averages. The relative latency is smoothed more strongly because
+// the work of single requests varies more than the speed of workers.
 constexpr double kRelativeLatencySmoothing = 0.05;
 constexpr double kMeanLatencySmoothing = 0.2;
 constexpr double kMaxRelativeLatency = 10;
-// Twice the latency of an unhurried response. With a later mark congestion stayed, with an earlier one quiet
-// fleets shed load.
-constexpr double kOverloadShare = 0.3;
+// A response indicates an overload of the fleet above this ratio of latency to objective, which is twice the
+// ratio without load. With a higher threshold congestion persisted; with a lower one a fleet with little load
+// shed requests.
+constexpr double kOverloadLatencyRatio = 0.3;
 
-// Times in seconds; `usual`: of a response of the route.
-void update_latency(Worker& worker, double elapsed, double size, double usual) {
-  const double relative = std::min(elapsed / size / usual, kMaxRelativeLatency);
-  worker.relative_latency += kRelativeLatencySmoothing * (relative - worker.relative_latency);
+// `elapsed` and `expected` are in seconds; `expected` is the route's latency for a request of mean size.
+void update_latency(Worker& worker, double elapsed, double relative_size, double expected) {
+  const double relative_latency = std::min(elapsed / relative_size / expected, kMaxRelativeLatency);
+  worker.relative_latency += kRelativeLatencySmoothing * (relative_latency - worker.relative_latency);
   worker.mean_latency += kMeanLatencySmoothing * (elapsed - worker.mean_latency);
 }
 
@@ -26,15 +28,16 @@
 
 void AttemptObserver::record(Worker& worker, const Request& request, Outcome outcome, Duration elapsed,
                              Duration now) {
-  worker.last_attempt_ended = now;
+  worker.last_attempt_ended_at = now;
   if (outcome >= Outcome::cancelled || now - elapsed < resumed_at_) return;
   RouteStatistics& route = routes_[request.route];
-  // A request of more units is taken to be as much more work, so its long response does not count as slow.
-  const double size = route.relative_size(request.units);
+  // A request of more units is assumed to take proportionally longer, so the longer latency of its response
+  // does not count as slow.
+  const double relative_size = route.relative_size(request.units);
   const double seconds = to_seconds(elapsed);
-  const double usual = route.mean_latency() > 0 ? route.mean_latency() : seconds / size;
+  const double expected = route.mean_latency() > 0 ? route.mean_latency() : seconds / relative_size;
   if (outcome == Outcome::success || outcome == Outcome::timed_out) {
-    update_latency(worker, seconds, size, usual);
+    update_latency(worker, seconds, relative_size, expected);
   }
   if (outcome == Outcome::success) {
     record_response(worker, route, request, elapsed, now);
@@ -46,12 +49,12 @@
 void AttemptObserver::record_response(Worker& worker, RouteStatistics& route, const Request& request,
                                       Duration elapsed, Duration now) {
   const double objective = to_seconds(settings_.routes[request.route].latency_objective);
-  const double size = route.relative_size(request.units);
-  const double objective_share = to_seconds(elapsed) / objective / size;
-  route.record_response(to_seconds(elapsed) / size, objective_share);
+  const double relative_size = route.relative_size(request.units);
+  const double latency_ratio = to_seconds(elapsed) / objective / relative_size;
+  route.record_response(to_seconds(elapsed) / relative_size, latency_ratio);
   OutlierDetector::record_success(worker);
-  limiter_.record_response(worker, {elapsed, objective_share, route.unloaded_latency() / objective}, now);
-  overload_.record_response(objective_share > kOverloadShare);
+  limiter_.record_response(worker, {elapsed, latency_ratio, route.unloaded_latency() / objective}, now);
+  overload_.record_response(latency_ratio > kOverloadLatencyRatio);
 }
 
 void AttemptObserver::record_failure(Worker& worker, Outcome outcome, Duration elapsed, Duration now) {
@@ -59,7 +62,7 @@
   if (outcome == Outcome::timed_out || outcome == Outcome::rejected) overload_.record_failure();
   OutlierDetector::record_failure(worker, outcome);
   if (OutlierDetector::is_ejected(worker))
-    limiter_.limit_to(worker, OutlierDetector::ejected_concurrency_limit());
+    limiter_.cap_limit(worker, OutlierDetector::ejected_concurrency_limit());
 }
 
 }  // namespace ironquay
--- a/src/policy/attempt_observer.hpp
+++ b/src/policy/attempt_observer.hpp
@@ -1,4 +1,4 @@
-// Learns from the end of every attempt: about its worker, its route and the load of the whole fleet.
+// Updates the statistics and limits of workers, routes and the whole fleet with the outcome of each attempt.
 #pragma once
 #include <vector>
 
@@ -17,10 +17,12 @@
                   std::vector<RouteStatistics>& routes)
       : settings_(settings), limiter_(limiter), overload_(overload), routes_(routes) {}
 
-  // An attempt of the request at the worker has ended, or was given up, `elapsed` after it was sent.
+  // Records that an attempt of the request at the worker ended, or was abandoned, `elapsed` after it was
+  // sent.
   void record(Worker& worker, const Request& request, Outcome outcome, Duration elapsed, Duration now);
 
-  // This gateway's process stood still until now: attempts sent before tell nothing about their workers.
+  // Records that this gateway's process was suspended until now. Attempts sent before now are ignored,
+  // because their latencies and time-outs say nothing about their workers.
   void process_resumed(Duration now) { resumed_at_ = now; }
 
  private:
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -1,8 +1,10 @@
-// Adapts how many attempts this gateway may have in flight at one worker.
+// Adapts the concurrency limit of each worker: the number of attempts that this gateway may have in flight at
+// it.
 //
-// The limit grows while responses are quick and the worker is fully used, and shrinks on slow responses and
-// failures, at most once per response time, as all attempts in flight suffer from the same queue. A limit
-// below one is a share of the time: the worker is paused after each attempt.
+// The limit grows while responses are fast and the gateway uses the limit fully. It shrinks on slow responses
+// and failures, but at most once per response time, because all attempts in flight wait in the same queue at
+// the worker. A limit below one is the share of time in which the worker may have an attempt in flight: after
+// each attempt the gateway pauses before it sends the worker the next one.
 #pragma once
 #include "policy/types.hpp"
 #include "policy/worker.hpp"
@@ -10,11 +12,13 @@
 
 namespace ironquay {
 
-// A response in terms of its route, so that the limiter needs to know of no route.
+// The latency of a response relative to its route, so that the limiter does not depend on routes.
 struct ResponseTiming {
   Duration elapsed{0};
-  double objective_share = 0;  // latency per usual request's worth of units, over the latency objective
-  double unloaded_share = 0;   // the route's latency without queues, over the latency objective
+  // Latency of the response, scaled to a request of mean size, divided by the route's latency objective.
+  double latency_ratio = 0;
+  // RouteStatistics::unloaded_latency() divided by the route's latency objective.
+  double unloaded_latency_ratio = 0;
 };
 
 class ConcurrencyLimiter {
@@ -24,12 +28,14 @@
 
   void record_response(Worker& worker, const ResponseTiming& timing, Duration now);
   void record_failure(Worker& worker, Outcome outcome, Duration elapsed, Duration now);
-  void limit_to(Worker& worker, double most);
+  // Reduces the worker's limit to `max_limit` if it is higher.
+  void cap_limit(Worker& worker, double max_limit);
 
   // Whether the worker may have one more attempt in flight.
   static bool may_send(const Worker& worker, Duration now);
 
  private:
+  // Multiplies the limit by `factor`, unless it was reduced within the last `elapsed`.
   void shrink(Worker& worker, double factor, Duration elapsed, Duration now);
 
   WorkerRegistry& registry_;
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -341,7 +341,7 @@
 }
 
 void LoadBalancer::answer_overdue_request() {
-  reject_or_fail(requests_.next_due(), settings_.capabilities.max_retry_after);
+  reject_or_fail(requests_.earliest_due(), settings_.capabilities.max_retry_after);
 }
 
 void LoadBalancer::reject_or_fail(RequestId id, Duration retry_after) {
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -3,12 +3,12 @@
 namespace ironquay {
 namespace {
 
-constexpr int kFailuresToEject = 3;
-// A worker that cannot be connected to is ejected after the second time.
+constexpr int kFailuresToEject = 3;  // consecutive
+// A failed connection attempt counts as this many failures, so the second one in a row ejects the worker.
 constexpr int kConnectFailureWeight = 2;
 constexpr double kEjectedLimit = 1.0 / 8;
 
-// A rejection tells of a full queue, not of a faulty worker.
+// A rejection means that the worker's queue is full or that it drains, not that it is faulty.
 int failure_weight(Outcome outcome) {
   if (outcome == Outcome::rejected) return 0;
   return outcome == Outcome::connect_failed ? kConnectFailureWeight : 1;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -1,4 +1,5 @@
-// Ejects workers whose attempts keep failing: hung, silent, dead, failing and misbehaving ones alike.
+// Ejects workers whose attempts fail repeatedly, whether the worker hangs, is unreachable, has crashed, or
+// returns errors or malformed responses.
 #pragma once
 #include "policy/types.hpp"
 #include "policy/worker.hpp"
@@ -10,7 +11,8 @@
   static void record_success(Worker& worker) { worker.consecutive_failures = 0; }
   static void record_failure(Worker& worker, Outcome outcome);
   static bool is_ejected(const Worker& worker);
-  // An ejected worker receives a trickle of attempts, which grows again as these succeed.
+  // The concurrency limit to which an ejected worker is reduced. It still receives few attempts, and the
+  // limit grows again when they succeed.
   static double ejected_concurrency_limit();
 };
 
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -6,39 +6,42 @@
 namespace ironquay {
 namespace {
 
-// Over sixteen attempts or so: a few seconds' worth of one gateway among hundreds.
-constexpr double kWindow = 16;
-constexpr double kStep = 0.1;
-constexpr double kMinimumShare = 1.0 / 64;
+// The recent attempts are the last 16 or so, which one of hundreds of gateways sends in a few seconds.
+constexpr double kAttemptWindow = 16;
+// The greatest change of the admitted share by one attempt.
+constexpr double kMaxStep = 0.1;
+constexpr double kMinAdmittedShare = 1.0 / 64;
+// The weight of a new sample in the average of the queue ranks.
 constexpr double kRankSmoothing = 0.02;
 
 }  // namespace
 
 void OverloadController::record_response(bool slow) {
-  timely_share_ += ((slow ? 0.0 : 1.0) - timely_share_) / kWindow;
-  slow_share_ += ((slow ? 1.0 : 0.0) - slow_share_) / kWindow;
-  adjust(slow, kStep);
+  timely_attempt_share_ += ((slow ? 0.0 : 1.0) - timely_attempt_share_) / kAttemptWindow;
+  slow_response_share_ += ((slow ? 1.0 : 0.0) - slow_response_share_) / kAttemptWindow;
+  adjust(slow, kMaxStep);
 }
 
 void OverloadController::record_failure() {
-  timely_share_ += (0.0 - timely_share_) / kWindow;
-  adjust(true, timely_share_ < 0.5 ? kStep : kStep * slow_share_);
+  timely_attempt_share_ += (0.0 - timely_attempt_share_) / kAttemptWindow;
+  adjust(true, timely_attempt_share_ < 0.5 ? kMaxStep : kMaxStep * slow_response_share_);
 }
 
-// A low share is halved and doubled.
+// The change is limited so that a low admitted share is at most halved or doubled by one attempt.
 void OverloadController::adjust(bool slow, double step) {
   admitted_share_ += slow ? -std::min(step, admitted_share_ / 2) : std::min(step, admitted_share_);
-  admitted_share_ = std::clamp(admitted_share_, kMinimumShare, 1.0);
+  admitted_share_ = std::clamp(admitted_share_, kMinAdmittedShare, 1.0);
 }
 
+// The first rank replaces the initial mean of 0.
 void OverloadController::record_rank(double queue_rank) {
   mean_rank_ += (mean_rank_ < 0 ? kRankSmoothing : 1) * (queue_rank - mean_rank_);
 }
 
-// Ranks are negative, so that a greater quotient is a greater weight.
+// Ranks are negative. A request with a lower rank than the mean thus has a relative value above 1.
 bool OverloadController::admits(double queue_rank, RandomSource& random) const {
-  const double weight = mean_rank_ < 0 ? std::clamp(queue_rank / mean_rank_, 1e-3, 4.0) : 1;
-  return random.chance(std::pow(admitted_share_, 1 / weight));
+  const double relative_value = mean_rank_ < 0 ? std::clamp(queue_rank / mean_rank_, 1e-3, 4.0) : 1;
+  return random.chance(std::pow(admitted_share_, 1 / relative_value));
 }
 
 }  // namespace ironquay
--- a/src/policy/overload_controller.hpp
+++ b/src/policy/overload_controller.hpp
@@ -1,9 +1,11 @@
-// Sheds load when the whole fleet of workers is overloaded.
+// Sheds load when the workers as a whole (the fleet) are overloaded.
 //
-// Hundreds of gateways with one attempt in flight at each worker overload the fleet without any one of them
-// noticing at a single worker; only all responses together show it. Responses in good time raise the share of
-// requests that are admitted, slow ones lower it. A time-out lowers it as far as responses are slow or most
-// attempts fail: a third of the responses lost, or a fifth of the workers hung, sheds nothing.
+// Hundreds of gateways with one attempt in flight at each worker can overload the fleet, although no gateway
+// can detect the overload at a single worker. Only the responses of all workers taken together show it. The
+// controller therefore adapts the share of requests that are admitted: responses in time raise it and slow
+// responses lower it. A time-out or rejection lowers it in proportion to the share of slow responses, or by
+// the full step if more than half of the recent attempts failed or were slow. While the other responses are
+// in time, no load is shed if a third of the responses are lost or a fifth of the workers hang.
 #pragma once
 #include "policy/random.hpp"
 
@@ -11,27 +13,28 @@
 
 class OverloadController {
  public:
-  // A response came; `slow`: later than an unhurried one.
+  // Records a response. `slow` is true if its latency indicates an overload.
   void record_response(bool slow);
-  // An attempt timed out or was rejected.
+  // Records an attempt that timed out or was rejected.
   void record_failure();
-  // The queue rank of a request that arrived.
+  // Records the queue rank of a request that has arrived.
   void record_rank(double queue_rank);
 
-  // Draws whether a request is admitted to the workers. Requests of more weight for their work are admitted
-  // sooner.
+  // Decides at random whether a request may be sent to the workers. Requests with a lower queue rank than the
+  // mean are admitted with a higher probability.
   bool admits(double queue_rank, RandomSource& random) const;
-  // Share of the requests that are shed.
+  // The share of requests of mean rank that are shed, from 0 to 1.
   double shed_share() const { return 1 - admitted_share_; }
   double admitted_share() const { return admitted_share_; }
 
  private:
+  // Lowers the admitted share by `step` if `slow`, raises it by `step` otherwise.
   void adjust(bool slow, double step);
 
   double admitted_share_ = 1;
-  double timely_share_ = 1;  // of the recent attempts
-  double slow_share_ = 0;    // of the recent responses
-  double mean_rank_ = 0;     // of the recent requests
+  double timely_attempt_share_ = 1;  // share of recent attempts that ended with a response that was not slow
+  double slow_response_share_ = 0;   // share of recent responses that were slow
+  double mean_rank_ = 0;             // average queue rank of recent requests; 0: none recorded
 };
 
 }  // namespace ironquay
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,4 +1,4 @@
-// The requests in flight, their deadlines and the queue of those that wait for a worker.
+// Holds the requests in flight, their deadlines and the queue of requests that wait for a worker.
 #pragma once
 #include <map>
 #include <set>
@@ -10,29 +10,30 @@
 
 class RequestTable {
  public:
-  // Adds a request; its deadline counts from set_deadline() on.
+  // Adds a request without a deadline; see set_deadline(). The reference is valid until erase().
   Request& insert(RequestId id) { return requests_[id]; }
   // Null if there is no such request.
   Request* find(RequestId id);
   const Request* find(RequestId id) const;
   Request& at(RequestId id) { return requests_.at(id); }
   bool empty() const { return requests_.empty(); }
-  // Forgets the request, its deadline and its place in the queue.
+  // Removes the request, its deadline and its place in the queue.
   void erase(RequestId id);
 
+  // Sets or replaces the request's deadline, a point in time.
   void set_deadline(RequestId id, Duration deadline);
-  // The request's response has begun, so it no longer needs a final answer by its deadline.
+  // Cancels the deadline of a request whose response has started; Request::deadline keeps its value.
   void clear_deadline(RequestId id);
-  // Duration::max() if no deadline is set.
+  // The earliest deadline of all requests; Duration::max() if none is set.
   Duration earliest_deadline() const;
-  // The request with the earliest deadline; there has to be one.
-  RequestId next_due() const { return deadlines_.begin()->second; }
+  // The request with the earliest deadline. At least one deadline must be set.
+  RequestId earliest_due() const { return deadlines_.begin()->second; }
 
-  // Queued requests by rank, the one to be sent first in front.
+  // Queued requests in ascending order of rank, then id. The first one is sent first.
   using Queue = std::set<std::pair<double, RequestId>>;
   const Queue& queue() const { return queue_; }
   void enqueue(RequestId id);
-  // Does nothing if the request is not queued.
+  // Removes the request from the queue. Does nothing if it is not queued.
   void dequeue(RequestId id);
 
  private:
--- a/src/policy/route_statistics.cpp
+++ b/src/policy/route_statistics.cpp
@@ -5,29 +5,31 @@
 namespace ironquay {
 namespace {
 
-constexpr double kSmoothing = 0.02;
-// The unloaded latency is the least that the mean has been. It is forgotten so slowly that a minute of
-// congestion does not pass for a normal state.
+// The weight of a new sample in the exponential averages.
+constexpr double kMeanSmoothing = 0.02;
+// The unloaded latency is the minimum of the mean latency, raised by this factor with each response. The
+// factor is so small that a minute of congestion does not count as the unloaded state.
 constexpr double kUnloadedGrowth = 1.0001;
-// A minute's traffic, with a tenth of noise in each bin.
-constexpr double kHistogramSamples = 400;
+// The number of samples at which the histogram halves its counts. It corresponds to about a minute of
+// traffic, and the count of each bin then has a statistical error of about 10%.
+constexpr double kMaxHistogramSamples = 400;
 
 }  // namespace
 
-// The bins are fine where attempt time-outs are chosen and coarse beyond.
-RouteStatistics::RouteStatistics() : latency_({.0625, .125, .1875, .25, .375, .5, .75, 1, 2}) {}
+// The bins are narrow in the range from which attempt time-outs are derived, and wide above it.
+RouteStatistics::RouteStatistics() : latency_ratios_({.0625, .125, .1875, .25, .375, .5, .75, 1, 2}) {}
 
 void RouteStatistics::record_request(double units, bool is_retry, Duration time_left) {
-  if (!is_retry) first_time_left_ = std::max(first_time_left_, time_left);
-  mean_units_ = mean_units_ > 0 ? mean_units_ + kSmoothing * (units - mean_units_) : units;
+  if (!is_retry) max_first_attempt_timeout_ = std::max(max_first_attempt_timeout_, time_left);
+  mean_units_ = mean_units_ > 0 ? mean_units_ + kMeanSmoothing * (units - mean_units_) : units;
 }
 
-void RouteStatistics::record_response(double latency, double objective_share) {
+void RouteStatistics::record_response(double latency, double latency_ratio) {
   const double previous = mean_latency_ > 0 ? mean_latency_ : latency;
-  mean_latency_ = previous + kSmoothing * (latency - previous);
+  mean_latency_ = previous + kMeanSmoothing * (latency - previous);
   unloaded_latency_ =
       unloaded_latency_ > 0 ? std::min(unloaded_latency_ * kUnloadedGrowth, mean_latency_) : mean_latency_;
-  latency_.add(objective_share, kHistogramSamples);
+  latency_ratios_.add(latency_ratio, kMaxHistogramSamples);
 }
 
 double RouteStatistics::relative_size(double units) const {
--- a/src/policy/route_statistics.hpp
+++ b/src/policy/route_statistics.hpp
@@ -1,4 +1,4 @@
-// What the requests of one route have needed of late.
+// Statistics about the recent requests of one route: their units and the latency of their responses.
 #pragma once
 #include "policy/histogram.hpp"
 #include "policy/types.hpp"
@@ -9,31 +9,33 @@
  public:
   RouteStatistics();
 
-  // A request of the route has arrived; `time_left` until its client times out.
+  // Records a request that has arrived. `time_left` is the time until its client times out.
   void record_request(double units, bool is_retry, Duration time_left);
-  // A response. Its latency, in seconds and as a share of the route's objective, is per usual request's worth
-  // of units.
-  void record_response(double latency, double objective_share);
+  // Records a response. `latency` is in seconds; `latency_ratio` is the latency divided by the route's
+  // latency objective. Both are scaled to a request of mean size, that is, divided by relative_size().
+  void record_response(double latency, double latency_ratio);
 
-  // Work of a request with these units over that of the route's usual one, within a factor of four.
+  // `units` divided by the mean units of the route's requests, limited to the range from 0.5 to 4.
   double relative_size(double units) const;
-  // A quantile of the response times, as a share of the latency objective.
-  double latency_quantile(double share) const { return latency_.quantile(share); }
-  // Seconds of a usual response; 0: none yet.
+  // A quantile of the recorded latency ratios, rounded up to the edge of a histogram bin.
+  double latency_quantile(double quantile) const { return latency_ratios_.quantile(quantile); }
+  // Mean latency of a request of mean size, in seconds; 0 before the first response.
   double mean_latency() const { return mean_latency_; }
-  // The same while no queues stand at the workers.
+  // Estimate of mean_latency() while the workers have no queues, in seconds; 0 before the first response.
   double unloaded_latency() const { return unloaded_latency_; }
+  // Mean units of a request; 0 before the first request.
   double mean_units() const { return mean_units_; }
-  // The most time that a client has granted its first attempt.
-  Duration first_time_left() const { return first_time_left_; }
+  // The longest time left that any client's first attempt of a request had.
+  Duration max_first_attempt_timeout() const { return max_first_attempt_timeout_; }
+  // Replaces the measured mean; for tests.
   void set_mean_units(double units) { mean_units_ = units; }
 
  private:
-  Histogram latency_;  // as a share of the latency objective
+  Histogram latency_ratios_;  // latencies divided by the latency objective
   double mean_units_ = 0;
   double mean_latency_ = 0;
   double unloaded_latency_ = 0;
-  Duration first_time_left_{0};
+  Duration max_first_attempt_timeout_{0};
 };
 
 }  // namespace ironquay
--- a/src/policy/timing_policy.cpp
+++ b/src/policy/timing_policy.cpp
@@ -9,16 +9,21 @@
 
 using namespace std::chrono_literals;
 
-// A final answer needs so many ticks to arrive before its client gives up.
-constexpr int kAnswerTicks = 3;
-// A client's retry that has a first attempt's time left to within this may be a first attempt's equal.
-constexpr Duration kSameTimeLeft = 10ms;
-// Above this load of the fleet no attempt gives up time for a retry.
-constexpr double kRetryTimeLoad = 0.7;
-// An attempt's time-out is three times what nearly all responses need and no less than ordinary slow ones, as
-// long as that leaves a third of the latency objective for a retry.
-constexpr double kTimeoutQuantile = 0.95, kTimeoutFactor = 3, kMinimumTimeoutShare = 0.3,
-                 kMaximumTimeoutShare = 0.65;
+// Clock ticks that the final answer may take to reach the client before the client's time-out.
+constexpr int kAnswerTransitTicks = 3;
+// If the time left of a client retry differs by no more than this from that of a first attempt, the client is
+// assumed to give each of its attempts the same time.
+constexpr Duration kTimeoutTolerance = 10ms;
+// From this load of the fleet on, attempts leave no time for a retry.
+constexpr double kMaxRetryReserveLoad = 0.7;
+// The time-out of an attempt is this multiple of this quantile of the route's response times.
+constexpr double kTimeoutFactor = 3;
+constexpr double kTimeoutQuantile = 0.95;
+// Bounds of the time-out, as ratios to the latency objective. The lower one is the latency of common slow
+// responses. From the upper one on, too little of the objective, about a third, is left for a retry, so the
+// attempt may take until the request's deadline.
+constexpr double kMinTimeoutRatio = 0.3;
+constexpr double kMaxTimeoutRatio = 0.65;
 
 }  // namespace
 
@@ -26,34 +31,39 @@
   const Route& route = settings_.routes[incoming.route];
   const Duration deadline = answer_deadline(incoming.time_left, now);
   if (route.late_value_share > 0) return deadline;
-  const Duration valuable = route.latency_objective - time_since_first_attempt(incoming);
-  return std::min(deadline, answer_deadline(valuable, now));
+  const Duration time_to_objective = route.latency_objective - time_since_first_attempt(incoming);
+  return std::min(deadline, answer_deadline(time_to_objective, now));
 }
 
 Duration TimingPolicy::answer_deadline(Duration time_left, Duration now) const {
-  return now + time_left - kAnswerTicks * settings_.tick;
+  return now + time_left - kAnswerTransitTicks * settings_.tick;
 }
 
-// The objective counts from the client's first attempt. A retry that has other than a first attempt's time
-// left runs until the client's own time-out, which tells how long ago the first attempt was. Where it has the
-// same, it is younger than that, and half is assumed.
+// The latency objective counts from the client's first attempt. The time left of a client retry usually ends
+// at the client time-out, so the client time-out minus the time left is the time since the first attempt. If
+// the retry has as much time left as a first attempt, the client limits each attempt separately. The same
+// difference is then only an upper bound, and half of it is assumed.
 Duration TimingPolicy::time_since_first_attempt(const IncomingRequest& incoming) const {
   if (!incoming.is_retry) return Duration(0);
-  const Duration first = routes_[incoming.route].first_time_left();
-  const bool tells_start = std::chrono::abs(incoming.time_left - first) > kSameTimeLeft;
+  const Duration first_attempt_timeout = routes_[incoming.route].max_first_attempt_timeout();
+  const bool ends_at_client_timeout =
+      std::chrono::abs(incoming.time_left - first_attempt_timeout) > kTimeoutTolerance;
   const Duration timeout = settings_.routes[incoming.route].client_timeout;
-  return std::max(Duration(0), timeout - incoming.time_left) / (tells_start ? 1 : 2);
+  return std::max(Duration(0), timeout - incoming.time_left) / (ends_at_client_timeout ? 1 : 2);
 }
 
 Duration TimingPolicy::attempt_timeout(const Request& request, double load, Duration now) const {
   const Route& route = settings_.routes[request.route];
   const RouteStatistics& statistics = routes_[request.route];
-  const Duration whole = request.deadline - now;
-  const double usual = kTimeoutFactor * statistics.latency_quantile(kTimeoutQuantile);
-  const double share = std::max(kMinimumTimeoutShare, usual * statistics.relative_size(request.units));
+  const Duration time_to_deadline = request.deadline - now;
+  const double base_timeout_ratio = kTimeoutFactor * statistics.latency_quantile(kTimeoutQuantile);
+  const double timeout_ratio =
+      std::max(kMinTimeoutRatio, base_timeout_ratio * statistics.relative_size(request.units));
   const bool retryable = route.idempotency != Idempotency::non_idempotent;
-  if (!retryable || load >= kRetryTimeLoad || share >= kMaximumTimeoutShare) return whole;
-  return std::min(whole, from_seconds(share * to_seconds(route.latency_objective)));
+  if (!retryable || load >= kMaxRetryReserveLoad || timeout_ratio >= kMaxTimeoutRatio) {
+    return time_to_deadline;
+  }
+  return std::min(time_to_deadline, from_seconds(timeout_ratio * to_seconds(route.latency_objective)));
 }
 
 Duration TimingPolicy::expected_latency(const Request& request) const {
--- a/src/policy/timing_policy.hpp
+++ b/src/policy/timing_policy.hpp
@@ -1,4 +1,4 @@
-// By when a request is answered, and how long each of its attempts may take.
+// Sets the deadline of each request and the time-out of each attempt.
 #pragma once
 #include <vector>
 
@@ -11,24 +11,25 @@
 
 class TimingPolicy {
  public:
-  // Both have to outlive the policy.
+  // Both arguments must outlive the policy. `routes` holds one entry per element of PolicySettings::routes.
   TimingPolicy(const PolicySettings& settings, const std::vector<RouteStatistics>& routes)
       : settings_(settings), routes_(routes) {}
 
-  // The time by which a request gets its final answer: a little before its client gives up, or before a
-  // response earns nothing any more.
+  // The time by which the gateway must send the final answer: shortly before the client times out or, on a
+  // route where late responses have no value, shortly before the latency objective passes.
   Duration answer_deadline(const IncomingRequest& incoming, Duration now) const;
-  // The same for a client that gives up after `time_left`.
+  // The time by which the gateway must send the final answer to a client that times out after `time_left`.
   Duration answer_deadline(Duration time_left, Duration now) const;
 
-  // How long the next attempt may take. If another one may follow in time, this one leaves time for it.
-  // `load` of the fleet: a loaded one gets the whole time.
+  // How long the next attempt of the request may take. It leaves time for a retry if the route allows one and
+  // `load`, the load of the fleet, is low; otherwise the attempt may take until the request's deadline.
   Duration attempt_timeout(const Request& request, double load, Duration now) const;
 
-  // What a response usually takes, for a request of these units.
+  // The mean latency of the route's responses, scaled to the units of the request.
   Duration expected_latency(const Request& request) const;
 
  private:
+  // Estimates the time since the client first sent the request; 0 if this is its first attempt.
   Duration time_since_first_attempt(const IncomingRequest& incoming) const;
 
   const PolicySettings& settings_;
--- a/src/policy/worker_registry.cpp
+++ b/src/policy/worker_registry.cpp
@@ -4,15 +4,16 @@
 
 void WorkerRegistry::begin_list(EndpointListKind kind) {
   list_kind_ = kind;
-  listed_.clear();
+  listed_workers_.clear();
 }
 
 void WorkerRegistry::update(const EndpointUpdate& update, Duration now) {
-  listed_.insert(update.worker);
+  listed_workers_.insert(update.worker);
   const auto [entry, inserted] = workers_.try_emplace(update.worker);
   Worker& worker = entry->second;
   if (inserted || update.started_at != worker.started_at) {
-    // A new process inherits nothing that was learnt of the old one, but attempts in flight stay counted.
+    // The worker is new or has restarted, so statistics of an earlier process do not apply. Attempts in
+    // flight still end one by one and must stay counted.
     const int in_flight = worker.in_flight;
     worker = Worker();
     worker.in_flight = in_flight;
@@ -30,11 +31,11 @@
   if (list_kind_ == EndpointListKind::failed) return false;
   if (list_kind_ != EndpointListKind::delta) {
     for (auto& [id, worker] : workers_) {
-      if (!listed_.contains(id)) worker.status = WorkerStatus::gone;
+      if (!listed_workers_.contains(id)) worker.status = WorkerStatus::gone;
     }
   }
   rebuild_ready(now);
-  // New workers have new ids, so one that is gone does not come back.
+  // A worker that is gone does not return under the same id, so its state is no longer needed.
   std::erase_if(workers_, [](const auto& entry) {
     return entry.second.status == WorkerStatus::gone && entry.second.in_flight == 0;
   });
@@ -43,12 +44,12 @@
 
 void WorkerRegistry::rebuild_ready(Duration now) {
   ready_.clear();
-  total_limit_ = 0;
+  total_concurrency_limit_ = 0;
   warm_count_ = 0;
   for (const auto& [id, worker] : workers_) {
     if (worker.status != WorkerStatus::ready) continue;
     ready_.push_back(id);
-    total_limit_ += worker.concurrency_limit;
+    total_concurrency_limit_ += worker.concurrency_limit;
     if (slow_start_.is_warm(worker, now)) ++warm_count_;
   }
 }
@@ -64,7 +65,7 @@
 }
 
 void WorkerRegistry::set_concurrency_limit(Worker& worker, double limit) {
-  if (worker.status == WorkerStatus::ready) total_limit_ += limit - worker.concurrency_limit;
+  if (worker.status == WorkerStatus::ready) total_concurrency_limit_ += limit - worker.concurrency_limit;
   worker.concurrency_limit = limit;
 }
 
@@ -82,7 +83,7 @@
 }
 
 double WorkerRegistry::utilization() const {
-  return total_limit_ > 0 ? static_cast<double>(in_flight_) / total_limit_ : 1;
+  return total_concurrency_limit_ > 0 ? static_cast<double>(in_flight_) / total_concurrency_limit_ : 1;
 }
 
 }  // namespace ironquay
--- a/src/policy/worker_registry.hpp
+++ b/src/policy/worker_registry.hpp
@@ -1,6 +1,6 @@
-// The workers that discovery has announced, and how much of their capacity this gateway uses.
+// Keeps the workers of the endpoint list, and counts how much of their concurrency limits this gateway uses.
 //
-// Nothing new goes to a worker from the moment in which a list says that it drains or is gone.
+// As soon as a list reports a worker as draining or gone, the worker receives no new attempts.
 #pragma once
 #include <map>
 #include <set>
@@ -18,9 +18,13 @@
   WorkerRegistry(const SlowStart& slow_start, const WorkerSubset& subset)
       : slow_start_(slow_start), subset_(subset) {}
 
+  // Starts to receive an endpoint list.
   void begin_list(EndpointListKind kind);
+  // Adds or updates one worker of the list being received. The status takes effect immediately, but ready()
+  // changes only in end_list().
   void update(const EndpointUpdate& update, Duration now);
-  // False if the list failed; what was known before stands then.
+  // Completes the list and removes workers that are gone and have no attempts in flight. Returns false if the
+  // list could not be fetched; the previous list remains in use then.
   bool end_list(Duration now);
 
   // Null if there is no such worker.
@@ -30,32 +34,35 @@
   const Worker& at(WorkerId id) const { return workers_.at(id); }
   bool contains(WorkerId id) const { return workers_.contains(id); }
   std::size_t size() const { return workers_.size(); }
+  // The workers that were ready at the end of the last list, in ascending order.
   const std::vector<WorkerId>& ready() const { return ready_; }
-  // Ready workers that were warm when the list last changed.
+  // The number of these workers that were warm at that time.
   std::size_t warm_count() const { return warm_count_; }
 
-  // Sets the worker's concurrency limit, keeping the sum over the ready workers.
+  // Sets the worker's concurrency limit. The limits must not be set in another way, because the registry
+  // keeps their sum over the ready workers.
   void set_concurrency_limit(Worker& worker, double limit);
   void attempt_started(Worker& worker);
-  // False if the worker is not known or has no attempt in flight.
+  // Returns false if the worker is unknown or has no attempt in flight.
   bool attempt_ended(WorkerId id);
-  // This gateway's attempts in flight.
+  // The number of this gateway's attempts in flight at all workers.
   int in_flight() const { return in_flight_; }
-  // Attempts in flight over the concurrency limits of the ready workers; 1 if there are none.
+  // Attempts in flight divided by the sum of the ready workers' concurrency limits; 1 if the sum is 0.
   double utilization() const;
 
  private:
+  // Recomputes the list of ready workers and the totals over them.
   void rebuild_ready(Duration now);
 
   const SlowStart& slow_start_;
   const WorkerSubset& subset_;
   std::map<WorkerId, Worker> workers_;
   std::vector<WorkerId> ready_;
-  std::set<WorkerId> listed_;  // by the list being received
+  std::set<WorkerId> listed_workers_;  // entries of the list being received
   EndpointListKind list_kind_ = EndpointListKind::cached;
   std::size_t warm_count_ = 0;
   int in_flight_ = 0;
-  double total_limit_ = 0;  // of the ready workers
+  double total_concurrency_limit_ = 0;  // sum over the ready workers
 };
 
 }  // namespace ironquay
