--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -10,35 +10,39 @@
 
 using namespace std::chrono_literals;
 
-// Epoll, signals, up to four for discovery, two for the counter service, gossip, the listening socket, the
-// three standard ones, eight for half-closed client connections, and some for moments of overlap.
-constexpr std::size_t kOwnDescriptors = 24;
-
-// The share of the connections that clients get. A request in flight takes one client connection, and one to
-// a worker for as long as an attempt is in flight, so that a shortage of workers shows as requests that wait
-// and never as connections that are not accepted.
-constexpr std::size_t kFrontendEighths = 5;
-constexpr std::size_t kUpstreamEighths = 3;
-
-// The parts of the process's memory for requests, and for responses that are incomplete.
-constexpr std::size_t kFrontendMemoryPart = 4;
-constexpr std::size_t kUpstreamMemoryPart = 8;
-
-// The cached endpoint list may be old, so the gateway waits for discovery. The platform expects a restarted
-// gateway to be ready within ten seconds.
+// File descriptors reserved for everything but client and worker connections: epoll, signals, up to four for
+// discovery, two for the counter service, gossip, the listening socket, the three standard streams, eight for
+// half-closed client connections, and three for connections that are open while they are being replaced.
+constexpr std::size_t kReservedDescriptors = 24;
+
+// How the connections are divided between clients and workers, in eighths. A request uses one client
+// connection until it is answered, but a worker connection only while an attempt is in flight. Clients get
+// the larger part, so that a shortage of workers makes requests wait and does not prevent the gateway from
+// accepting client connections.
+constexpr std::size_t kClientConnectionEighths = 5;
+constexpr std::size_t kWorkerConnectionEighths = 3;
+
+// A quarter of the process's memory limit is for requests, an eighth for incomplete responses.
+constexpr std::size_t kRequestMemoryDivisor = 4;
+constexpr std::size_t kResponseMemoryDivisor = 8;
+
+// How long the gateway waits at startup for a response from discovery, because the cached endpoint list may
+// be outdated. The platform expects a restarted gateway to be ready within 10 s.
 constexpr Duration kDiscoveryStartupTimeout = 9s;
 
+// The maximum number of client and worker connections together.
 std::size_t max_connections(const GatewayConfig& config) {
-  if (config.max_descriptors <= 2 * kOwnDescriptors) return kOwnDescriptors;
-  return config.max_descriptors - kOwnDescriptors;
+  if (config.max_descriptors <= 2 * kReservedDescriptors) return kReservedDescriptors;
+  return config.max_descriptors - kReservedDescriptors;
 }
 
 std::size_t max_client_connections(const GatewayConfig& config) {
-  return max_connections(config) * kFrontendEighths / 8;
+  return max_connections(config) * kClientConnectionEighths / 8;
 }
 
 UpstreamLimits upstream_limits(const GatewayConfig& config) {
-  return {max_connections(config) * kUpstreamEighths / 8, config.memory_limit_bytes / kUpstreamMemoryPart};
+  return {max_connections(config) * kWorkerConnectionEighths / 8,
+          config.memory_limit_bytes / kResponseMemoryDivisor};
 }
 
 const Capabilities& capabilities(const GatewayConfig& config) {
@@ -65,7 +69,7 @@
       startup_timer_(loop, [this] { open_frontend(StartupTrigger::discovery_timed_out); }),
       on_ready_(std::move(on_ready)),
       frontend_(loop, config_.listen, config_.settings, max_client_connections(config_),
-                config_.memory_limit_bytes / kFrontendMemoryPart, *this),
+                config_.memory_limit_bytes / kRequestMemoryDivisor, *this),
       upstreams_(loop, config_.settings.connection, upstream_limits(config_), *this),
       discovery_(loop, config_.discovery, discovery_kind(config_), discovery_seed(config_), *this) {
   discovery_.load_cached(std::exchange(config_.cached_endpoints, nullptr));
@@ -76,7 +80,8 @@
   if (config_.gossip_listen)
     gossip_ = std::make_unique<GossipSocket>(loop, *config_.gossip_listen, config_.gossip_peers,
                                              config_.gossip_broadcast, *this);
-  // A shared service may respond much later, and what it has counts only when it is polled.
+  // The gateway does not wait for a shared discovery service: the response may take much longer, and the
+  // endpoint list of such a service takes effect only when it is polled.
   startup_timer_.expire_after(capabilities(config_).polls_endpoints ? Duration(0) : kDiscoveryStartupTimeout);
 }
 
@@ -100,9 +105,9 @@
   std::exchange(on_ready_, nullptr)();
 }
 
-// Reports an event to the load balancer. An effect may cause further events at once: they are deferred until
-// the load balancer has handled the current one, as it must not be called from within itself. An event that
-// an effect can cause must own what it refers to.
+// Reports an event to the load balancer. While the load balancer handles an event, its effects may cause
+// further events. These are deferred until it has handled the current one, because the load balancer is not
+// reentrant. An event that an effect can cause must own the data that it refers to.
 template <typename Event>
 void Gateway::dispatch(Event event) {
   if (dispatching_) {
@@ -118,7 +123,8 @@
   dispatching_ = false;
 }
 
-// Null if the request has its answer or its client has left.
+// Removes a request from the open ones and returns its exchange. Returns null if the request is already
+// answered or its client has disconnected.
 Exchange* Gateway::take_exchange(RequestId request) {
   const auto found = open_requests_.find(request);
   if (found == open_requests_.end()) return nullptr;
@@ -161,7 +167,7 @@
   if (gossip_) gossip_->broadcast(bytes);
 }
 
-// Discovery watches from the start, and reconnects by itself.
+// Does nothing: EndpointDiscovery keeps a watch open from startup on and reconnects without being told to.
 void Gateway::subscribe_endpoints(bool /*on*/) {}
 
 void Gateway::poll_endpoints() { discovery_.refresh(); }
@@ -193,8 +199,8 @@
 }
 
 void Gateway::on_deadline_shortened(Exchange& exchange) {
-  dispatch([this, id = exchange.id, left = exchange.time_left] {
-    balancer_.on_deadline_shortened(loop_.now(), id, left);
+  dispatch([this, id = exchange.id, time_left = exchange.time_left] {
+    balancer_.on_deadline_shortened(loop_.now(), id, time_left);
   });
 }
 
@@ -202,17 +208,17 @@
   return balancer_.may_send_attempt(loop_.now(), request, attempt);
 }
 
-// The client gets its answer at once; the load balancer is notified afterwards.
+// Answers the client before it notifies the load balancer, if this outcome ends the request.
 void Gateway::on_attempt_end(const AttemptEnd& end) {
-  bool finished = !open_requests_.contains(end.request);
+  bool request_finished = !open_requests_.contains(end.request);
   const bool is_final = end.outcome == Outcome::success || end.outcome == Outcome::invalid_request;
-  if (!finished && is_final) {
+  if (!request_finished && is_final) {
     Exchange* exchange = take_exchange(end.request);
     end.outcome == Outcome::success ? exchange->respond_with_value(end.value) : exchange->fail();
-    finished = true;
+    request_finished = true;
   }
-  const AttemptResult result{end.request, end.attempt, end.worker,      end.outcome,
-                             end.elapsed, finished,    end.actual_units};
+  const AttemptResult result{end.request, end.attempt,      end.worker,      end.outcome,
+                             end.elapsed, request_finished, end.actual_units};
   dispatch([this, result] { balancer_.on_attempt_end(loop_.now(), result); });
 }
 
@@ -244,7 +250,7 @@
   });
 }
 
-// Forgets the workers that the load balancer has forgotten.
+// Removes the workers that the load balancer no longer knows.
 void Gateway::remove_gone_workers() {
   const auto is_gone = [this](WorkerId id) { return !balancer_.knows_worker(id); };
   for (const WorkerId id : worker_ids_.remove_if(is_gone)) upstreams_.remove_worker(id);
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -1,4 +1,5 @@
-// Connects the load balancer with the network: reports events to LoadBalancer and carries out its effects.
+// The gateway as a whole: connects the load balancer with the network. It reports network events to
+// LoadBalancer and carries out the effects that LoadBalancer requests.
 #pragma once
 #include <deque>
 #include <functional>
@@ -26,13 +27,15 @@
                 public CounterClient::Listener,
                 public GossipSocket::Listener {
  public:
-  // Calls `on_ready` once clients can connect: when discovery has responded, or has not for long. Throws
-  // std::system_error if an address of its own cannot be used.
+  // Calls `on_ready` once, when clients can connect: after the first response from discovery, or after a
+  // timeout of 9 s without one. If discovery is a shared service, the gateway does not wait for it. Throws
+  // std::system_error if the gateway cannot bind one of its own addresses.
   Gateway(EventLoop& loop, GatewayConfig config, std::function<void()> on_ready);
 
-  // Takes over the addresses of discovery and the counter service. Other changes need a restart.
+  // Switches to the addresses of discovery and of the counter service in `config`. All other changes take
+  // effect only after a restart.
   void reconfigure(const GatewayConfig& config);
-  // Shuts down gracefully: finishes the requests that are open, then stops the loop.
+  // Shuts down gracefully: finishes the open requests, then stops the event loop.
   void drain();
 
  private:
@@ -85,19 +88,19 @@
   EventLoop& loop_;
   GatewayConfig config_;
   LoadBalancer balancer_;
-  std::unordered_map<RequestId, Exchange*> open_requests_;  // not answered yet
+  std::unordered_map<RequestId, Exchange*> open_requests_;  // the requests that are not answered yet
   WorkerIdMap worker_ids_;
   RequestId last_request_id_ = 0;
-  bool dispatching_ = false;
+  bool dispatching_ = false;  // the load balancer is handling an event
   std::deque<std::function<void()>> deferred_events_;
   Timer policy_timer_;
   Timer startup_timer_;
-  std::function<void()> on_ready_;  // empty once it has been called, or will not be
+  std::function<void()> on_ready_;  // empty after it was called, and after drain()
   Frontend frontend_;
   UpstreamPool upstreams_;
   EndpointDiscovery discovery_;
-  std::unique_ptr<CounterClient> counter_;
-  std::unique_ptr<GossipSocket> gossip_;
+  std::unique_ptr<CounterClient> counter_;  // null if no counter service is used
+  std::unique_ptr<GossipSocket> gossip_;    // null if the configuration has no address for gossip
 };
 
 }  // namespace ironquay::net
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -10,23 +10,23 @@
 
 using namespace std::chrono_literals;
 
-// Between two pieces of a response. A network first repeats a lost segment after 200 ms.
+// The longest time between two pieces of a response. TCP first retransmits a lost segment after 200 ms.
 constexpr Duration kResponseGapTimeout = 250ms;
-// One response alone must not take all the memory for incomplete responses.
-constexpr std::size_t kBudgetPartOfOneResponse = 8;
+// One response may take an eighth of the memory for incomplete responses, so that it leaves room for others.
+constexpr std::size_t kBudgetDivisorPerResponse = 8;
 constexpr std::size_t kMaxLoggedErrorBytes = 80;
 
 }  // namespace
 
 const char* to_string(UpstreamCloseReason reason) {
   switch (reason) {
-    case UpstreamCloseReason::attempt_lapsed:
+    case UpstreamCloseReason::attempt_expired:
       return "attempt-expired";
     case UpstreamCloseReason::connect_refused:
       return "connection-refused";
     case UpstreamCloseReason::connect_timed_out:
       return "connect-failed";
-    case UpstreamCloseReason::timed_out:
+    case UpstreamCloseReason::response_timed_out:
       return "response-timeout";
     case UpstreamCloseReason::closed_by_worker:
       return "worker-closed";
@@ -34,17 +34,17 @@
       return "worker-reset";
     case UpstreamCloseReason::malformed_response:
       return "malformed-response";
-    case UpstreamCloseReason::unexpected_bytes:
+    case UpstreamCloseReason::trailing_bytes:
       return "trailing-bytes";
-    case UpstreamCloseReason::buffers_full:
+    case UpstreamCloseReason::memory_limit:
       return "memory-limit";
     case UpstreamCloseReason::cancelled:
       return "cancelled";
-    case UpstreamCloseReason::not_needed:
+    case UpstreamCloseReason::endpoint_changed:
       return "endpoint-changed";
     case UpstreamCloseReason::idle_timeout:
       return "idle-timeout";
-    case UpstreamCloseReason::no_descriptors:
+    case UpstreamCloseReason::connection_limit:
       return "connection-limit";
   }
   return "";
@@ -78,16 +78,16 @@
 
 void UpstreamConnection::start(Use use, Duration timeout) {
   use_ = use;
-  state_since_ = loop_.now();
-  deadline_ = state_since_ + timeout;
-  ++exchanges_;
+  use_since_ = loop_.now();
+  deadline_ = use_since_ + timeout;
+  ++commands_started_;
   const Duration connect_deadline = opened_at_ + settings_.connect_timeout;
   timeout_timer_.expire_at(stream_.connected() ? deadline_ : std::min(deadline_, connect_deadline));
 }
 
 void UpstreamConnection::on_events(std::uint32_t events) {
   const bool was_connected = stream_.connected();
-  if (attempt_has_lapsed(events)) return close(UpstreamCloseReason::attempt_lapsed, Outcome::not_sent);
+  if (attempt_has_expired(events)) return close(UpstreamCloseReason::attempt_expired, Outcome::not_sent);
   if (!stream_.make_progress(events)) {
     if (stream_.connection_end() != ConnectionEnd::none)
       close(UpstreamCloseReason::connect_refused, Outcome::connect_failed);
@@ -97,8 +97,8 @@
   stream_.read(events, [&](std::string_view bytes) { return on_bytes(bytes); });
   if (!stream_.has_ended(events)) return;
   const bool closed_by_worker = stream_.connection_end() == ConnectionEnd::peer_closed;
-  const bool was_reused = exchanges_ > 1;
-  // If the connection broke before the last byte was written, the worker has not started the request.
+  const bool was_reused = commands_started_ > 1;
+  // If the connection ended before the last byte was written, the worker has not started the request.
   const Outcome outcome = !stream_.all_written() ? Outcome::connect_failed
                           : was_reused           ? Outcome::stale_connection
                                                  : Outcome::connection_lost;
@@ -106,9 +106,10 @@
         outcome);
 }
 
-// Bytes that are still waiting belong to an attempt that has not run. By the time they can be written its
-// worker may be draining, or may have forgotten the idempotency key.
-bool UpstreamConnection::attempt_has_lapsed(std::uint32_t events) {
+// Whether the attempt must not be written any more. An attempt whose bytes are still buffered has not been
+// executed. When its bytes can be written at last, its worker may be draining, or the worker's deduplication
+// window for the idempotency key may have ended.
+bool UpstreamConnection::attempt_has_expired(std::uint32_t events) {
   const bool can_write = (events & EPOLLOUT) && !(events & (EPOLLERR | EPOLLHUP));
   if (!can_write || stream_.all_written() || use_ != Use::attempt) return false;
   return is_outdated() || !owner_.may_send_attempt(request_, attempt_);
@@ -116,10 +117,10 @@
 
 void UpstreamConnection::on_timeout() {
   if (!stream_.connected()) return close(UpstreamCloseReason::connect_timed_out, Outcome::connect_failed);
-  if (!stream_.all_written()) return close(UpstreamCloseReason::timed_out, Outcome::connect_failed);
-  if (stream_.unread().empty()) return close(UpstreamCloseReason::timed_out, Outcome::timed_out);
+  if (!stream_.all_written()) return close(UpstreamCloseReason::response_timed_out, Outcome::connect_failed);
+  if (stream_.unread().empty()) return close(UpstreamCloseReason::response_timed_out, Outcome::timed_out);
   out_of_sync_ = true;
-  // A complete value is good even if the rest of the response, which matters less, is missing.
+  // A complete value is used even if the rest of the response, such as the load report, is incomplete.
   resp::Reply reply;
   resp::parse_reply(stream_.unread(), reply, max_value_bytes());
   const bool delivered = on_value_reply(reply);
@@ -132,7 +133,7 @@
   resp::Reply reply;
   const resp::ParseStatus parsed = resp::parse_reply(bytes, reply, max_value_bytes());
   if (parsed == resp::ParseStatus::incomplete && use_ != Use::idle) {
-    wait_for_rest(bytes.size());
+    wait_for_more_bytes(bytes.size());
     return 0;
   }
   const bool expected = parsed == resp::ParseStatus::complete && use_ != Use::idle;
@@ -140,20 +141,21 @@
   if (!expected || !on_reply(reply)) {
     close(UpstreamCloseReason::malformed_response, Outcome::malformed_response);
   } else if (out_of_sync_) {
-    close(UpstreamCloseReason::unexpected_bytes, Outcome::cancelled);
+    close(UpstreamCloseReason::trailing_bytes, Outcome::cancelled);
   } else if (is_outdated()) {
-    close(UpstreamCloseReason::not_needed, Outcome::cancelled);
+    close(UpstreamCloseReason::endpoint_changed, Outcome::cancelled);
   }
   return bytes.size();
 }
 
-void UpstreamConnection::wait_for_rest(std::size_t buffered_bytes) {
+void UpstreamConnection::wait_for_more_bytes(std::size_t buffered_bytes) {
   timeout_timer_.expire_at(std::min(deadline_, loop_.now() + kResponseGapTimeout));
   set_buffered_bytes(buffered_bytes);
-  if (budget_.exceeded()) close(UpstreamCloseReason::buffers_full, Outcome::malformed_response);
+  if (budget_.exceeded()) close(UpstreamCloseReason::memory_limit, Outcome::malformed_response);
 }
 
-// False if the reply does not answer the command in flight. The same holds for the functions below.
+// Returns false if the reply cannot be an answer to the command in flight. The same holds for the three
+// functions below.
 bool UpstreamConnection::on_reply(const resp::Reply& reply) {
   if (use_ == Use::health_check) return on_health_check_reply(reply);
   return reply.type == '-' ? on_error_reply(reply.text) : on_value_reply(reply);
@@ -188,6 +190,7 @@
   return true;
 }
 
+// The units that the worker reports for the request, or 0 if it reports none or an invalid number.
 double UpstreamConnection::actual_units(const resp::Reply& reply) const {
   if (reply.element_count < 2) return 0;
   const std::string_view cost = resp::find_field(reply.elements[1].text, "cost");
@@ -198,14 +201,14 @@
   return is_number && units > 0 && units <= settings_.max_units ? units : 0;
 }
 
-// The connection is handed back before the end is reported, as the receiver may send the next attempt at
-// once.
+// Returns the connection to the pool before it reports the end, because the receiver of the report may send
+// the next attempt immediately.
 void UpstreamConnection::finish(Outcome outcome, std::string_view value, double actual_units) {
   timeout_timer_.stop();
   set_buffered_bytes(0);
   const Use use = std::exchange(use_, Use::idle);
-  const Duration elapsed = loop_.now() - state_since_;
-  state_since_ = loop_.now();
+  const Duration elapsed = loop_.now() - use_since_;
+  use_since_ = loop_.now();
   if (!closed_ && !out_of_sync_ && !is_outdated()) owner_.on_connection_idle(*this);
   if (use == Use::health_check) return owner_.on_health_check_end(worker_, outcome, elapsed);
   owner_.on_attempt_end({request_, attempt_, worker_, outcome, elapsed, value, actual_units});
@@ -215,7 +218,7 @@
   if (closed_) return;
   closed_ = true;
   log("connection closed peer=worker addr=%s reason=%s attempts=%zu in_flight=%d",
-      to_string(address_).c_str(), to_string(reason), exchanges_, use_ != Use::idle);
+      to_string(address_).c_str(), to_string(reason), commands_started_, use_ != Use::idle);
   stream_.close();
   timeout_timer_.stop();
   owner_.on_connection_closed(*this);
@@ -228,9 +231,9 @@
   return false;
 }
 
-// Workers send values that are longer than they should be, and those are good.
+// Values over resp::kMaxValueBytes are accepted as well, because workers send such values and they are valid.
 std::size_t UpstreamConnection::max_value_bytes() const {
-  return std::max(resp::kMaxValueBytes, budget_.limit_bytes / kBudgetPartOfOneResponse);
+  return std::max(resp::kMaxValueBytes, budget_.limit_bytes / kBudgetDivisorPerResponse);
 }
 
 void UpstreamConnection::set_buffered_bytes(std::size_t bytes) {
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -1,4 +1,4 @@
-// One TCP connection to a worker, which carries one attempt or one health check at a time, in RESP.
+// One TCP connection to a worker. It carries one attempt or one health check at a time, in RESP.
 #pragma once
 #include <cstdint>
 #include <initializer_list>
@@ -16,24 +16,24 @@
 
 // Why a connection to a worker was closed, or could not be opened.
 enum class UpstreamCloseReason {
-  attempt_lapsed,      // the attempt had to wait, and by then it must not be sent any more
-  connect_refused,     // no connection could be established
+  attempt_expired,     // the attempt waited to be written and became invalid meanwhile
+  connect_refused,     // the connection could not be established
   connect_timed_out,   // the connection was not established in time
-  timed_out,           // the command was not written, or not answered, in time
-  closed_by_worker,    // regular end of the connection
-  reset_by_worker,     // the connection broke
-  malformed_response,  // unreadable, incomplete, or sent without a command
-  unexpected_bytes,    // more bytes followed a good response
-  buffers_full,        // incomplete responses take more memory than they may
+  response_timed_out,  // the command was not written, or not answered, in time
+  closed_by_worker,    // the worker closed the connection in the regular way
+  reset_by_worker,     // the connection was reset
+  malformed_response,  // the response was unreadable or incomplete, or no command was in flight
+  trailing_bytes,      // more bytes followed a valid response
+  memory_limit,        // incomplete responses exceeded their memory limit
   cancelled,           // the attempt was cancelled
-  not_needed,          // the worker is draining, gone, or has moved
-  idle_timeout,        // not used for too long
-  no_descriptors,      // closed to make room for another connection, or none was left for a new one
+  endpoint_changed,    // the worker is draining or gone, or its address or process has changed
+  idle_timeout,        // the connection was idle for too long
+  connection_limit,    // closed to make room for a new one, or not opened for lack of descriptors
 };
-// The reason as it is written in the log.
+// The reason code that is written to the log.
 const char* to_string(UpstreamCloseReason reason);
 
-// Memory for responses that are incomplete, shared by all connections.
+// The memory for incomplete responses, which the connections to all workers share.
 struct ResponseBufferBudget {
   std::size_t limit_bytes = 0;
   std::size_t used_bytes = 0;
@@ -41,15 +41,15 @@
   bool exceeded() const { return used_bytes > limit_bytes; }
 };
 
-// How an attempt ended. The view is valid during the call that receives the message.
+// How an attempt ended. `value` is valid only during the call that receives this report.
 struct AttemptEnd {
   RequestId request = 0;
   std::size_t attempt = 0;  // index among the request's attempts
   WorkerId worker = 0;
   Outcome outcome = Outcome::success;
-  Duration elapsed{0};
+  Duration elapsed{0};      // since the attempt was started
   std::string_view value;   // encoded as the worker sent it; empty unless the attempt succeeded
-  double actual_units = 0;  // 0: not reported
+  double actual_units = 0;  // units of quota that the worker reported; 0 if it reported none
 };
 
 class UpstreamConnection : public EventLoop::Handler {
@@ -58,15 +58,17 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Whether a connection opened at that time leads to an address or a process that the worker has left.
+    // Whether the worker's address or process has changed since `opened_at`, the time when a connection to
+    // the worker was opened. Such a connection must not be used for further attempts.
     virtual bool is_outdated(WorkerId worker, Duration opened_at) const = 0;
-    // Whether an attempt whose bytes had to wait may still be written.
+    // Whether an attempt whose bytes could not be written immediately may still be written.
     virtual bool may_send_attempt(RequestId request, std::size_t attempt) = 0;
-    // The connection can be used for another attempt or health check.
+    // The connection is idle and can be used for another attempt or health check.
     virtual void on_connection_idle(UpstreamConnection& connection) = 0;
     // The connection is closed. The owner destroys it once the current round of the event loop is over.
     virtual void on_connection_closed(UpstreamConnection& connection) = 0;
     virtual void on_attempt_end(const AttemptEnd& end) = 0;
+    // `elapsed` is the time since the health check was started.
     virtual void on_health_check_end(WorkerId worker, Outcome outcome, Duration elapsed) = 0;
   };
 
@@ -74,29 +76,33 @@
   UpstreamConnection(EventLoop& loop, const ConnectionSettings& settings, ResponseBufferBudget& budget,
                      Owner& owner, WorkerId worker, FileDescriptor fd, const Address& address);
 
-  // Writes a command, given in parts, and waits for its response.
+  // Writes a command, given in parts, and waits for its response until `timeout` has passed. The connection
+  // must be idle. The end is reported by Owner::on_attempt_end().
   void start_attempt(RequestId request, std::size_t attempt, Duration timeout,
                      std::initializer_list<std::string_view> command);
+  // Writes a PING and waits for its response until `timeout` has passed. The connection must be idle. The end
+  // is reported by Owner::on_health_check_end().
   void start_health_check(Duration timeout);
-  // Closes the connection. What is in flight on it ends with `outcome`.
+  // Closes the connection. An attempt or health check in flight on it ends with `outcome`.
   void close(UpstreamCloseReason reason, Outcome outcome);
-  // Whether an idle connection can be used: nothing is waiting to be read, not even its end. Otherwise the
-  // connection is closed.
+  // Whether an idle connection can be used, which means that there are neither bytes nor an end of stream to
+  // read. Otherwise the connection is closed.
   bool check_usable();
 
   WorkerId worker() const { return worker_; }
-  // Duration::max() while an attempt or a health check is in flight.
-  Duration idle_since() const { return use_ == Use::idle ? state_since_ : Duration::max(); }
+  // When the connection became idle; Duration::max() while an attempt or a health check is in flight.
+  Duration idle_since() const { return use_ == Use::idle ? use_since_ : Duration::max(); }
 
  private:
+  // What the connection is used for at present.
   enum class Use { idle, attempt, health_check };
 
   void on_events(std::uint32_t events) override;
   void start(Use use, Duration timeout);
-  bool attempt_has_lapsed(std::uint32_t events);
+  bool attempt_has_expired(std::uint32_t events);
   void on_timeout();
   std::size_t on_bytes(std::string_view bytes);
-  void wait_for_rest(std::size_t buffered_bytes);
+  void wait_for_more_bytes(std::size_t buffered_bytes);
   bool on_reply(const resp::Reply& reply);
   bool on_health_check_reply(const resp::Reply& reply);
   bool on_error_reply(std::string_view error);
@@ -117,13 +123,13 @@
   Timer timeout_timer_;
   Duration opened_at_;
   Use use_ = Use::idle;
-  RequestId request_ = 0;
-  std::size_t attempt_ = 0;
-  Duration state_since_{0};  // when the attempt or health check started, or the idle time
-  Duration deadline_{0};
-  std::size_t exchanges_ = 0;       // attempts and health checks so far
-  std::size_t buffered_bytes_ = 0;  // of a response that is incomplete
-  bool out_of_sync_ = false;        // it is unknown which command the next bytes would answer
+  RequestId request_ = 0;             // of the latest attempt
+  std::size_t attempt_ = 0;           // index of the latest attempt among the request's attempts
+  Duration use_since_{0};             // when the attempt, the health check or the idle time started
+  Duration deadline_{0};              // of the attempt or health check
+  std::size_t commands_started_ = 0;  // number of attempts and health checks so far
+  std::size_t buffered_bytes_ = 0;    // bytes received of a response that is incomplete
+  bool out_of_sync_ = false;          // it is unknown which command the next bytes received would answer
   bool closed_ = false;
 };
 
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -11,10 +11,11 @@
 
 using namespace std::chrono_literals;
 
-// Bytes that no command asked for follow a response by up to 4 ms, as measured
-// (docs/incidents/rare-faults.md). For five times as long a connection is not used again, as those bytes
-// would be taken for the next response.
-constexpr Duration kSettleTime = 20ms;
+// How long a connection stays unused after a response. A worker may send a duplicate response or stray bytes
+// up to 4 ms after a response, and on a reused connection these would be taken for the next response. The
+// delay is five times as long. (docs/incidents/rare-faults.md)
+constexpr Duration kReuseDelay = 20ms;
+// How often connections that were idle for too long are closed.
 constexpr Duration kSweepInterval = 1s;
 
 }  // namespace
@@ -39,11 +40,11 @@
   close_idle_connections(id);
 }
 
-// Closing a connection may close others, so the index is checked again at each step.
+// Closing one connection may cause others to be closed, so the index is checked again at each step.
 void UpstreamPool::remove_worker(WorkerId id) {
   for (std::size_t i = connections_.size(); i-- > 0;) {
     if (i < connections_.size() && connections_[i]->worker() == id)
-      connections_[i]->close(UpstreamCloseReason::not_needed, Outcome::cancelled);
+      connections_[i]->close(UpstreamCloseReason::endpoint_changed, Outcome::cancelled);
   }
   workers_.erase(id);
 }
@@ -63,11 +64,12 @@
   }
 }
 
-// Resources that this gateway lacks say nothing about the health of the worker.
+// If this gateway lacks descriptors or other resources, the outcome is not_sent, because that says nothing
+// about the health of the worker.
 void UpstreamPool::on_send_failure(const Exchange& exchange, std::size_t attempt, WorkerId worker,
                                    int error) {
   const bool refused = error == ECONNREFUSED || error == ENETUNREACH || error == EHOSTUNREACH;
-  const auto reason = refused ? UpstreamCloseReason::connect_refused : UpstreamCloseReason::no_descriptors;
+  const auto reason = refused ? UpstreamCloseReason::connect_refused : UpstreamCloseReason::connection_limit;
   log("connection closed peer=worker addr=%s reason=%s errno=%d",
       to_string(workers_.at(worker).address).c_str(), to_string(reason), error);
   const Outcome outcome = refused ? Outcome::connect_failed : Outcome::not_sent;
@@ -89,10 +91,11 @@
   const auto found = workers_.find(id);
   if (found == workers_.end()) return;
   const std::vector<UpstreamConnection*>& idle = found->second.idle_connections;
-  while (!idle.empty()) idle.back()->close(UpstreamCloseReason::not_needed, Outcome::cancelled);
+  while (!idle.empty()) idle.back()->close(UpstreamCloseReason::endpoint_changed, Outcome::cancelled);
 }
 
-// Null if there is none and none can be opened; errno then tells why, unless the limit was met.
+// Returns an idle connection or opens a new one. Returns null if neither is possible; errno then holds the
+// reason, unless the reason is the connection limit.
 UpstreamConnection* UpstreamPool::acquire_connection(WorkerId id) {
   Worker& worker = workers_.at(id);
   if (UpstreamConnection* idle = acquire_idle_connection(worker)) return idle;
@@ -102,10 +105,10 @@
 
 UpstreamConnection* UpstreamPool::acquire_idle_connection(Worker& worker) {
   std::vector<UpstreamConnection*>& idle = worker.idle_connections;
-  const Duration settled = loop_.now() - kSettleTime;
+  const Duration latest_idle_start = loop_.now() - kReuseDelay;
   for (std::size_t i = idle.size(); i-- > 0;) {
-    // Connections that turned out to be unusable have been removed.
-    if (i >= idle.size() || idle[i]->idle_since() > settled) continue;
+    // check_usable() closes unusable connections, which removes them from the vector.
+    if (i >= idle.size() || idle[i]->idle_since() > latest_idle_start) continue;
     UpstreamConnection* connection = idle[i];
     if (!connection->check_usable()) continue;
     std::erase(idle, connection);
@@ -114,6 +117,7 @@
   return nullptr;
 }
 
+// Returns null on failure, with the reason in errno.
 UpstreamConnection* UpstreamPool::open_connection(WorkerId id, const Worker& worker) {
   FileDescriptor fd = connect_tcp(worker.address);
   if (!fd) return nullptr;
@@ -123,22 +127,23 @@
   return connections_.back().get();
 }
 
-// Closes the connection that has been idle for longest. False if none is idle.
+// Closes the connection that has been idle for the longest time. Returns false if none is idle.
 bool UpstreamPool::evict_idle_connection() {
   const auto oldest = std::min_element(
       connections_.begin(), connections_.end(),
       [](const auto& left, const auto& right) { return left->idle_since() < right->idle_since(); });
   if (oldest == connections_.end() || (*oldest)->idle_since() == Duration::max()) return false;
-  (*oldest)->close(UpstreamCloseReason::no_descriptors, Outcome::cancelled);
+  (*oldest)->close(UpstreamCloseReason::connection_limit, Outcome::cancelled);
   return true;
 }
 
-// Workers close a connection at its idle timeout at the latest; half of that is well before.
+// Closes connections after half of the idle timeout, well before the workers do: they close a connection at
+// the latest when it has been idle for the whole timeout.
 void UpstreamPool::close_stale_connections() {
   sweep_timer_.expire_after(kSweepInterval);
-  const Duration oldest = loop_.now() - settings_.idle_timeout / 2;
+  const Duration earliest_idle_start = loop_.now() - settings_.idle_timeout / 2;
   for (std::size_t i = connections_.size(); i-- > 0;) {
-    if (i < connections_.size() && connections_[i]->idle_since() < oldest)
+    if (i < connections_.size() && connections_[i]->idle_since() < earliest_idle_start)
       connections_[i]->close(UpstreamCloseReason::idle_timeout, Outcome::cancelled);
   }
 }
@@ -157,10 +162,10 @@
 
 void UpstreamPool::on_connection_closed(UpstreamConnection& connection) {
   std::erase(workers_.at(connection.worker()).idle_connections, &connection);
-  const auto own = std::find_if(connections_.begin(), connections_.end(),
-                                [&](const auto& candidate) { return candidate.get() == &connection; });
-  loop_.destroy_later(std::move(*own));
-  std::swap(*own, connections_.back());
+  const auto entry = std::find_if(connections_.begin(), connections_.end(),
+                                  [&](const auto& candidate) { return candidate.get() == &connection; });
+  loop_.destroy_later(std::move(*entry));
+  std::swap(*entry, connections_.back());
   connections_.pop_back();
 }
 
@@ -173,7 +178,7 @@
   listener_.on_health_check_end(worker, outcome, elapsed);
 }
 
-// A request has far fewer than 256 attempts.
+// Combines a request and an attempt into one key. A request has far fewer than 256 attempts.
 std::uint64_t UpstreamPool::in_flight_key(RequestId request, std::size_t attempt) {
   return request << 8 | (attempt & 255);
 }
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -15,10 +15,10 @@
 
 namespace ironquay::net {
 
-// What the connections to all workers may take together.
+// Limits for the connections to all workers together.
 struct UpstreamLimits {
-  std::size_t max_connections = 1;  // at least one is permitted
-  std::size_t buffer_bytes = 0;     // of responses that are incomplete
+  std::size_t max_connections = 1;  // 0 is treated as 1
+  std::size_t buffer_bytes = 0;     // memory for incomplete responses
 };
 
 class UpstreamPool : UpstreamConnection::Owner {
@@ -28,34 +28,37 @@
     virtual ~Listener() = default;
     // An attempt has ended. May be called from within send_attempt(), cancel_attempt() and check_health().
     virtual void on_attempt_end(const AttemptEnd& end) = 0;
-    // Whether an attempt that had to wait, for its connection or for room on it, may still be written.
+    // Whether an attempt may still be written that waited until its connection was established or its socket
+    // accepted more bytes.
     virtual bool may_send_attempt(RequestId request, std::size_t attempt) = 0;
-    // A health check has ended. May be called from within check_health().
+    // A health check has ended, `elapsed` after it was started. May be called from within check_health().
     virtual void on_health_check_end(WorkerId worker, Outcome outcome, Duration elapsed) = 0;
   };
 
   UpstreamPool(EventLoop& loop, const ConnectionSettings& settings, const UpstreamLimits& limits,
                Listener& listener);
 
-  // Sets where a worker listens and when its process started. Connections to another address or to an earlier
-  // process are not used again.
+  // Sets the address at which a worker listens and the time when its process started. Existing connections
+  // are not reused after a change of either.
   void set_endpoint(WorkerId id, const Address& address, Duration started_at);
-  // Forgets a worker that has no attempt in flight. Its id may be used again.
+  // Removes a worker that has no attempt in flight and closes its connections. Its id may be assigned to
+  // another worker afterwards.
   void remove_worker(WorkerId id);
-  // Sends an attempt to a worker whose endpoint is set. It times out after `timeout`.
+  // Sends an attempt to a worker whose endpoint is set. The attempt times out after `timeout`. `attempt` is
+  // its index among the request's attempts.
   void send_attempt(const Exchange& exchange, std::size_t attempt, WorkerId worker, Duration timeout);
   // Closes the connection of an attempt; does nothing if the attempt has ended.
   void cancel_attempt(RequestId request, std::size_t attempt);
-  // Sends a PING to a worker whose endpoint is set.
+  // Sends a PING to a worker whose endpoint is set. It times out after the connect timeout of the settings.
   void check_health(WorkerId worker);
   void close_idle_connections(WorkerId id);
 
  private:
   struct Worker {
     Address address{};
-    Duration started_at{0};
-    Duration endpoint_changed_at{0};
-    std::vector<UpstreamConnection*> idle_connections;  // the most recently used one is the last
+    Duration started_at{0};                             // of the worker's process
+    Duration endpoint_changed_at{0};                    // when the address or the process last changed
+    std::vector<UpstreamConnection*> idle_connections;  // the most recently used one is last
   };
 
   bool is_outdated(WorkerId worker, Duration opened_at) const override;
@@ -79,7 +82,7 @@
   ResponseBufferBudget budget_;
   Listener& listener_;
   std::unordered_map<WorkerId, Worker> workers_;
-  std::unordered_map<std::uint64_t, UpstreamConnection*> in_flight_;  // by request and attempt
+  std::unordered_map<std::uint64_t, UpstreamConnection*> in_flight_;  // attempts, by in_flight_key()
   std::vector<std::unique_ptr<UpstreamConnection>> connections_;
   std::string command_;  // reused for each attempt, to save allocations
   Timer sweep_timer_;
