--- a/src/main.cpp
+++ b/src/main.cpp
@@ -13,7 +13,7 @@
 
 namespace net = ironquay::net;
 
-// Returns when the gateway has shut down.
+// Starts the gateway and returns when it has shut down.
 void run_gateway() {
   net::EventLoop loop;
   net::GatewayConfig config = net::load_gateway_config(net::ConfigSource::startup);
@@ -24,7 +24,7 @@
   net::ConfigReloader reloader(loop, gateway);
   bool draining = false;
   net::SignalHandler signal_handler(loop, [&](int signal) {
-    if (signal == SIGHUP) return reloader.start();
+    if (signal == SIGHUP) return reloader.reload();
     if (std::exchange(draining, true)) return;
     net::log("draining name=%s", name.c_str());
     gateway.drain();
@@ -36,7 +36,7 @@
 }  // namespace
 
 int main() {
-  // Before anything else: a signal that comes during startup waits for the event loop.
+  // This call comes first, so that a signal during startup stays pending until the event loop runs.
   net::block_handled_signals();
   try {
     run_gateway();
--- a/src/net/attempt_command.hpp
+++ b/src/net/attempt_command.hpp
@@ -1,4 +1,4 @@
-// The RESP command that carries an attempt to a worker.
+// Builds the RESP command that carries an attempt to a worker.
 #pragma once
 #include <string>
 
@@ -6,8 +6,9 @@
 
 namespace ironquay::net {
 
-// Appends the command up to its body, and the length line of the body if there is one. The words are those of
-// the client, except for the attribute `d`, which becomes the time that this gateway waits for the response.
+// Appends the command to `out` up to its body; if there is a body, appends the body's length line as well.
+// The words are those that the client sent, except for the attribute `d`. Its value becomes `timeout` in
+// milliseconds, rounded up and at least 1: the time that this gateway waits for the response.
 void append_attempt_command(std::string& out, const Exchange& exchange, Duration timeout);
 
 }  // namespace ironquay::net
--- a/src/net/config_reloader.cpp
+++ b/src/net/config_reloader.cpp
@@ -11,6 +11,7 @@
 
 using namespace std::chrono_literals;
 
+// How long a failed reload is retried, and how often. ConfigReloader::reload() gives the reason.
 constexpr Duration kRetryPeriod = 4s;
 constexpr Duration kRetryInterval = 100ms;
 
@@ -19,7 +20,7 @@
 ConfigReloader::ConfigReloader(EventLoop& loop, Gateway& gateway)
     : loop_(loop), gateway_(gateway), retry_timer_(loop, [this] { try_reload(); }) {}
 
-void ConfigReloader::start() {
+void ConfigReloader::reload() {
   retry_until_ = loop_.now() + kRetryPeriod;
   failure_logged_ = false;
   try_reload();
--- a/src/net/config_reloader.hpp
+++ b/src/net/config_reloader.hpp
@@ -1,4 +1,4 @@
-// Reloads the configuration while the gateway runs.
+// Reloads the configuration of a running gateway.
 #pragma once
 #include "net/event_loop.hpp"
 #include "net/gateway.hpp"
@@ -10,10 +10,10 @@
  public:
   ConfigReloader(EventLoop& loop, Gateway& gateway);
 
-  // Loads the configuration and applies it. A file that cannot be used changes nothing. As it may still be
-  // incomplete, and no second request follows, it is tried again for 4 s: by then the platform expects the
-  // new configuration to be in effect.
-  void start();
+  // Loads the configuration and applies it. An invalid file changes nothing. The file may still be incomplete
+  // when the reload is requested, and no second request follows. A failed reload is therefore retried for
+  // 4 s, the time within which the platform expects the new configuration to take effect.
+  void reload();
 
  private:
   void try_reload();
@@ -21,8 +21,8 @@
   EventLoop& loop_;
   Gateway& gateway_;
   Timer retry_timer_;
-  Duration retry_until_{0};
-  bool failure_logged_ = false;
+  Duration retry_until_{0};      // when the retries of the latest reload end
+  bool failure_logged_ = false;  // a failure of the latest reload was logged; retries log no further ones
 };
 
 }  // namespace ironquay::net
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -11,12 +11,12 @@
 
 using namespace std::chrono_literals;
 
-// Between a connection's end and the next connection; it doubles while none works. The maximum is a quarter
-// of the longest time for which the policy does without the counter, so that the counter is back when it is
-// used again.
+// The time between the end of a connection and the next connection attempt. It doubles while no connection
+// succeeds. The maximum is a quarter of the longest time for which the policy stops calling the counter
+// service, so that a connection is open again when the policy resumes its calls.
 constexpr Duration kInitialBackoff = 100ms;
 constexpr Duration kMaxBackoff = 1s;
-// The largest double in decimal notation has some 310 digits.
+// The maximum length of a number, in bytes. The largest double has about 310 digits in decimal notation.
 constexpr std::size_t kMaxNumberLength = 400;
 
 std::string add_command(std::string_view name, double amount, Duration lifetime) {
@@ -91,7 +91,7 @@
   }
   loop_.destroy_later(std::move(connection_));
   if (has_responded) {
-    // This connection has failed, but the service works: there is no reason to wait.
+    // This connection has failed, but the service responded on it, so the client reconnects without delay.
     backoff_ = Duration(0);
     connect();
   } else {
@@ -100,7 +100,9 @@
   deliver_results();
 }
 
-// A result of the new connection waits until no call for its name is pending on the draining connection.
+// Queues a result for delivery. `source` is the connection of the call, or null if there was none. A result
+// that did not come from the draining connection is held back while that connection has a pending call for
+// the same name, so that results for one name keep the order of the calls.
 void CounterClient::enqueue_result(const CounterConnection* source, CounterResult result) {
   release_blocked_results();
   const bool blocked = draining_connection_ && source != draining_connection_.get() &&
@@ -108,6 +110,7 @@
   (blocked ? blocked_results_ : results_).push_back(std::move(result));
 }
 
+// Moves the results that are no longer held back to the delivery queue.
 void CounterClient::release_blocked_results() {
   std::erase_if(blocked_results_, [&](CounterResult& result) {
     if (draining_connection_ && draining_connection_->has_pending_call(result.name)) return false;
@@ -116,8 +119,8 @@
   });
 }
 
-// The listener may add to a count at once, which may fail at once: that result is delivered by the loop
-// below.
+// Reports the queued results. The listener may call add() while it handles a result, and that call may fail
+// immediately. Such a result is delivered by the loop that is already running.
 void CounterClient::deliver_results() {
   release_blocked_results();
   if (std::exchange(delivering_, true)) return;
--- a/src/net/counter_client.hpp
+++ b/src/net/counter_client.hpp
@@ -1,7 +1,8 @@
-// The client of the counter service, which adds to counts that all gateways share.
+// The client of the counter service, which keeps counts that all gateways share.
 //
-// It keeps one connection. After a change of the address the connection before is drained: calls that are
-// pending on it end there, and results for one name are still reported in the order of the calls.
+// The client keeps one connection open and reconnects with exponential backoff. When the address changes, it
+// drains the previous connection: calls that are pending on it end there. Results for one name are still
+// reported in the order of the calls.
 #pragma once
 #include <deque>
 #include <memory>
@@ -21,16 +22,18 @@
   class Listener {
    public:
     virtual ~Listener() = default;
-    // May be called from within add(). Replies for one name come in the order of its calls.
+    // A call has ended. May be called from within add(). Replies for one name are reported in the order of
+    // the calls.
     virtual void on_counter_reply(const CounterReply& reply) = 0;
   };
 
-  // Connects at once. A call times out after `call_timeout`.
+  // Starts connecting immediately. A call times out after `call_timeout`.
   CounterClient(EventLoop& loop, const Address& address, Duration call_timeout, Listener& listener);
 
-  // Adds `amount` to the count `name`, which expires `lifetime` after its first use.
+  // Adds `amount` units to the count `name`, which expires `lifetime` after its first use. The result is
+  // reported to the listener; without a connection it is Outcome::connect_failed.
   void add(std::string_view name, double amount, Duration lifetime);
-  // Sends further calls to another address.
+  // Sends all further calls to another address.
   void set_address(const Address& address);
 
  private:
@@ -48,13 +51,13 @@
   Address address_;
   Duration call_timeout_;
   Listener& listener_;
-  std::unique_ptr<CounterConnection> connection_;
-  std::unique_ptr<CounterConnection> draining_connection_;  // to the previous address
-  std::deque<CounterResult> results_;                       // to be reported, in this order
-  std::deque<CounterResult>
-      blocked_results_;  // an earlier call for their name is pending on the draining one
-  bool delivering_ = false;
-  Duration backoff_{0};
+  std::unique_ptr<CounterConnection> connection_;           // null while the client waits to reconnect
+  std::unique_ptr<CounterConnection> draining_connection_;  // to the previous address; null if there is none
+  std::deque<CounterResult> results_;                       // not reported yet, in the order of delivery
+  // Results that are held back because draining_connection_ has a pending call for the same name.
+  std::deque<CounterResult> blocked_results_;
+  bool delivering_ = false;  // deliver_results() is running
+  Duration backoff_{0};      // the latest delay before a reconnect, 0 after a connection that has responded
   Timer retry_timer_;
 };
 
--- a/src/net/counter_connection.cpp
+++ b/src/net/counter_connection.cpp
@@ -12,16 +12,17 @@
 
 using namespace std::chrono_literals;
 
-// The counter service closes a connection that was idle for some 10 s.
+// How often an idle connection is kept alive with a PING. The counter service closes a connection that was
+// idle for about 10 s.
 constexpr Duration kHeartbeatInterval = 2s;
-// A connection on which nothing was received for so many call timeouts while calls were pending is given up.
-// A crowded service still answers, each call in its turn; one that vanished leaves the connection open
-// forever.
+// A connection is closed if calls are pending and no response was received for this many call timeouts. An
+// overloaded service still answers the calls in order, but a host that has vanished leaves the connection
+// open forever.
 constexpr int kInactivityCallTimeouts = 3;
-// The rest of a response that has begun is to come within this part of a call timeout.
-constexpr int kResponseGapPart = 2;
+// The rest of an incomplete response must arrive within the call timeout divided by this number.
+constexpr int kResponseGapDivisor = 2;
 
-// The count after an addition; nothing if the reply is not a number.
+// The count after an addition; empty if the reply is not a finite number.
 std::optional<double> parse_total(const resp::Reply& reply) {
   if (reply.type != '$') return std::nullopt;
   double total = 0;
@@ -137,9 +138,10 @@
   heartbeat_timer_.expire_after(calls_.empty() ? kHeartbeatInterval : call_timeout_);
 }
 
-// Ends the calls whose deadline has passed. They stay in the queue, as their responses may still come.
+// Reports the calls whose deadline has passed as timed out. They stay in the queue, because their responses
+// may still arrive.
 void CounterConnection::on_call_timeout() {
-  // The calls were never written, and must not be when nobody waits for them any more.
+  // The calls have not been written, and must not be written after their timeout has been reported.
   if (!stream_.connected()) return close(CounterCloseReason::connect_timed_out);
   // The owner may add calls while it is notified, which invalidates iterators but not indices.
   // NOLINTNEXTLINE(modernize-loop-convert)
@@ -165,14 +167,14 @@
     consumed += reply.wire_bytes;
   }
   if (consumed < bytes.size()) {
-    response_gap_timer_.expire_after(call_timeout_ / kResponseGapPart);
+    response_gap_timer_.expire_after(call_timeout_ / kResponseGapDivisor);
   } else {
     response_gap_timer_.stop();
   }
   return consumed;
 }
 
-// False if the reply does not answer the oldest call.
+// Returns false if the reply cannot be an answer to the oldest call.
 bool CounterConnection::on_reply(const resp::Reply& reply) {
   if (calls_.empty()) return false;
   const std::optional<double> total = parse_total(reply);
--- a/src/net/counter_connection.hpp
+++ b/src/net/counter_connection.hpp
@@ -1,4 +1,5 @@
-// One connection to the counter service. Calls are written one behind another and answered in that order.
+// One connection to the counter service. Calls are pipelined: several may be pending at a time, and the
+// service answers them in the order in which they were written.
 #pragma once
 #include <deque>
 #include <string>
@@ -18,20 +19,20 @@
 enum class CounterCloseReason {
   connect_refused,
   connect_timed_out,
-  malformed_response,  // unreadable, incomplete, or sent without a call
+  malformed_response,  // the response was unreadable or incomplete, or no call was pending
   closed_by_server,
   reset_by_server,
-  inactive,         // nothing received for long while calls were pending
-  address_changed,  // the counter service has another address
+  inactive,         // no response was received for several call timeouts while calls were pending
+  address_changed,  // the configured address of the counter service has changed
 };
-// The reason as it is written in the log.
+// The reason code that is written to the log.
 const char* to_string(CounterCloseReason reason);
 
 // How a call to the counter service ended.
 struct CounterResult {
   std::string name;
   Outcome outcome = Outcome::connection_lost;
-  double total = 0;  // after the addition, if it succeeded
+  double total = 0;  // the count after the addition, in units; 0 unless the call succeeded
 };
 
 class CounterConnection : public EventLoop::Handler {
@@ -40,33 +41,35 @@
   class Owner {
    public:
     virtual ~Owner() = default;
+    // A call has been answered or has timed out.
     virtual void on_counter_result(const CounterConnection& connection, CounterResult result) = 0;
-    // The connection is closed and its pending calls have ended with `results`. The owner destroys it once
-    // the current round of the event loop is over. `has_responded`: a call has been answered on it, if only
-    // in part.
+    // The connection is closed, and its pending calls have ended with `results`. The owner destroys it once
+    // the current round of the event loop is over. `has_responded` is whether any bytes of a response to a
+    // call were received on the connection.
     virtual void on_connection_end(CounterConnection& connection, bool has_responded,
                                    std::vector<CounterResult> results) = 0;
   };
 
-  // `fd` is a socket that is connecting to `address`, `call_timeout` the time within which it is to be
-  // connected and each call to be answered.
+  // `fd` is a socket that is connecting to `address`. The connection must be established within
+  // `call_timeout`, and each call must be answered within `call_timeout` after it was added.
   CounterConnection(EventLoop& loop, const Address& address, FileDescriptor fd, Duration call_timeout,
                     Owner& owner);
 
-  // Writes the RESP command of a call that adds to the count `name`, which must not be empty.
+  // Writes `command`, the RESP command of a call that adds to the count `name`. The name must not be empty.
   void add(std::string_view name, std::string_view command);
   // Whether a call for the count `name` has not ended yet.
   bool has_pending_call(std::string_view name) const;
   // Closes the connection as soon as no call is pending.
   void drain();
+  // Closes the connection and reports the pending calls through Owner::on_connection_end().
   void close(CounterCloseReason reason);
 
  private:
   struct Call {
-    std::string name;  // empty: a heartbeat
+    std::string name;  // empty for a heartbeat
     Duration deadline{0};
-    std::size_t end_offset = 0;  // of its last byte among all that were written on this connection
-    bool reported = false;       // it has ended; its response, if it still comes, must be read all the same
+    std::size_t end_offset = 0;  // number of bytes enqueued on this connection up to the end of this call
+    bool reported = false;       // its result was reported; a response that arrives later is read and dropped
   };
 
   void on_events(std::uint32_t events) override;
@@ -83,10 +86,10 @@
   Duration call_timeout_;
   Owner& owner_;
   TcpStream stream_;
-  std::deque<Call> calls_;          // unanswered, the oldest first
-  std::size_t enqueued_bytes_ = 0;  // written, or waiting to be
-  std::size_t responses_ = 0;
-  Duration last_response_at_;
+  std::deque<Call> calls_;          // the calls without a response, oldest first
+  std::size_t enqueued_bytes_ = 0;  // bytes written or buffered for writing
+  std::size_t responses_ = 0;       // number of responses received
+  Duration last_response_at_;       // or when calls_ last became non-empty, if that is later
   Timer call_timer_;
   Timer heartbeat_timer_;
   Timer response_gap_timer_;
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -33,9 +33,9 @@
       return "discovery-closed";
     case WatchCloseReason::reset_by_server:
       return "discovery-reset";
-    case WatchCloseReason::replaced:
+    case WatchCloseReason::superseded:
       return "superseded";
-    case WatchCloseReason::not_needed:
+    case WatchCloseReason::redundant:
       return "redundant";
     case WatchCloseReason::refreshed:
       return "refresh";
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -1,5 +1,6 @@
-// One watch on the endpoint list: an HTTP request whose response goes on for as long as the watch lasts, with
-// a JSON object for each change and a line at regular intervals.
+// One watch of the endpoint list: an HTTP request to discovery whose response continues for as long as the
+// watch lasts. The response carries a JSON object for each change, and a line as a heartbeat at regular
+// intervals.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -18,20 +19,20 @@
   response_timed_out,
   malformed_response,
   unexpected_status,  // the HTTP status was not 200
-  response_complete,  // the server ended the response, which should go on
+  response_complete,  // the server ended the response, although the watch should continue
   closed_by_server,
   reset_by_server,
-  replaced,         // another watch is active now
-  not_needed,       // another watch has responded first
-  refreshed,        // the full list is requested instead
-  address_changed,  // discovery has another address
+  superseded,       // this watch was active, and another one has become active
+  redundant,        // another watch has responded first
+  refreshed,        // a new watch requests the full list
+  address_changed,  // the configured address of discovery has changed
 };
-// The reason as it is written in the log.
+// The reason code that is written to the log.
 const char* to_string(WatchCloseReason reason);
 
 class DiscoveryWatch : public EventLoop::Handler {
  public:
-  // Receives what the watch reads. Each call may close the watch, and must do so if the watch ends.
+  // Receives what the watch reads. Each of the calls may close the watch; on_watch_end() must close it.
   class Owner {
    public:
     virtual ~Owner() = default;
@@ -39,15 +40,16 @@
     virtual void on_watch_object(DiscoveryWatch& watch, std::string_view text) = 0;
     // A line ended between two objects, which shows that the server is alive.
     virtual void on_watch_heartbeat(DiscoveryWatch& watch) = 0;
+    // The watch has failed or its response has ended.
     virtual void on_watch_end(DiscoveryWatch& watch, WatchCloseReason reason) = 0;
   };
 
-  // `fd` is a socket that is connecting to `address`. Requests the changes since `version`; all endpoints if
-  // negative.
+  // `fd` is a socket that is connecting to `address`. The watch requests the changes since `version`, or all
+  // endpoints if `version` is negative.
   DiscoveryWatch(EventLoop& loop, const Address& address, FileDescriptor fd, std::int64_t version,
                  Owner& owner);
 
-  // Closes the connection and logs the end with the list version known by then.
+  // Closes the connection and logs its end. `version` is the latest version known, for the log line.
   void close(WatchCloseReason reason, std::int64_t version);
   const Address& address() const { return address_; }
   Duration opened_at() const { return opened_at_; }
@@ -62,7 +64,7 @@
   TcpStream stream_;
   HttpResponseParser response_;
   JsonSplitter splitter_;
-  std::size_t objects_ = 0;
+  std::size_t objects_ = 0;  // number of JSON objects received
   bool malformed_ = false;
   bool closed_ = false;
 };
--- a/src/net/endpoint_discovery.cpp
+++ b/src/net/endpoint_discovery.cpp
@@ -11,28 +11,33 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::json;
 
-// The active watch sends a line every 2 s, and the platform expects a gateway to know within 6 s what an
-// inactive watch has missed. After a quarter of an interval more than one the watch is taken to be broken,
-// which leaves time for half a dozen attempts.
+// A watch that has received neither an object nor a heartbeat for this time is inactive and may be broken.
+// Discovery sends a heartbeat every 2 s, and the time-out is a quarter of that interval longer. The platform
+// expects a gateway to know of every change within 6 s, even if the watch that should have reported it is
+// broken; the rest of the 6 s is enough for about six attempts to open another watch.
 constexpr Duration kWatchIdleTimeout = 2500ms;
 
-// An agent on this machine answers at once or not at all. When it works again it answers the requests that it
-// received meanwhile; if it does not, the next attempt still comes well within any drain period.
+// The timing of requests to a local agent. An agent that works answers immediately. An agent that was stalled
+// answers the requests that it received meanwhile when it works again; if it does not answer them, the next
+// attempt still follows well within the drain period of any worker.
 constexpr Duration kAgentResponseTimeout = 200ms;
 constexpr Duration kMaxAgentBackoff = 400ms;
 
-// A shared service works through a queue, and says so if it does not. Leaving that queue too early has made
-// it longer for nothing, so each attempt may take long. The next attempt does not wait for that, as the
-// service may be silent for good: there are three within the 6 s above.
+// The timing of requests to a shared service. The service queues requests, and answers with an error if it
+// does not accept one. A request that is abandoned and sent again only makes the queue longer, so each
+// request may take long. Because the service may also never respond, hedged requests are sent meanwhile:
+// three requests fit into the 6 s above.
 constexpr Duration kSharedResponseTimeout = 10s;
 constexpr Duration kSharedHedgeDelay = 1500ms;
 constexpr Duration kMaxSharedBackoff = 2s;
 constexpr std::size_t kMaxSharedWatches = 3;
 
+// The mean delay before the first retry. It doubles for each further retry, up to one of the maxima above.
 constexpr Duration kInitialBackoff = 100ms;
-// If not even a socket can be had.
+// The delay before the next attempt if no connection could be started, for example for lack of descriptors.
 constexpr Duration kSocketRetryDelay = 400ms;
-// Hundreds of gateways that start together spread their first requests to a shared service over this time.
+// Gateways that start together, possibly hundreds, spread their first requests to a shared service over this
+// time.
 constexpr Duration kStartSpread = 500ms;
 
 }  // namespace
@@ -64,7 +69,7 @@
   open_watch();
 }
 
-// Versions may be counted differently there, so the full list is requested.
+// The new server may number its versions differently, so the full list is requested.
 void EndpointDiscovery::set_address(const Address& address) {
   if (same_address(address, address_)) return;
   address_ = address;
@@ -74,8 +79,8 @@
   open_watch();
 }
 
-// Between a quarter and seven quarters of the mean, so that gateways that failed together do not come back
-// together.
+// Returns a random delay between a quarter and seven quarters of `mean`, so that gateways whose watches end
+// at the same time do not reconnect at the same time.
 Duration EndpointDiscovery::with_jitter(Duration mean) {
   std::uniform_int_distribution<Duration::rep> range(mean.count() / 4, mean.count() * 7 / 4);
   return Duration(range(random_));
@@ -107,19 +112,21 @@
   const std::int64_t version_before = version_;
   const Json list = Json::parse(text, nullptr, false);
   if (!report_list(list, false)) return on_watch_end(watch, WatchCloseReason::malformed_response);
-  // What a server at the previous address says is true, but its versions mean nothing at the new address.
+  // The endpoints from a server at the previous address are valid, but its versions mean nothing to the
+  // server at the new address.
   if (!same_address(watch.address(), address_)) version_ = version_before;
   on_watch_event(watch);
 }
 
 void EndpointDiscovery::on_watch_heartbeat(DiscoveryWatch& watch) { on_watch_event(watch); }
 
-// The first watch to send anything becomes or stays the active one, and the others are closed.
+// Called for each object and each heartbeat of a watch. The first watch that receives one becomes or remains
+// the active watch, and the others are closed.
 void EndpointDiscovery::on_watch_event(DiscoveryWatch& watch) {
   if (&watch != active_watch_.get()) {
     activate(watch);
   } else if (same_address(watch.address(), address_)) {
-    close_pending_watches(WatchCloseReason::not_needed);
+    close_pending_watches(WatchCloseReason::redundant);
     retry_timer_.stop();
   }
   backoff_ = Duration(0);
@@ -129,16 +136,17 @@
 
 void EndpointDiscovery::activate(DiscoveryWatch& watch) {
   if (active_watch_) {
-    active_watch_->close(WatchCloseReason::replaced, version_);
+    active_watch_->close(WatchCloseReason::superseded, version_);
     loop_.destroy_later(std::move(active_watch_));
   }
-  close_pending_watches(WatchCloseReason::not_needed, &watch);
+  close_pending_watches(WatchCloseReason::redundant, &watch);
   active_watch_ = std::move(pending_watches_.front());
   pending_watches_.clear();
   retry_timer_.stop();
 }
 
-// False if the JSON is not an endpoint list. Entries that cannot be read are skipped.
+// Reports the entries of a list to the listener. Entries that cannot be parsed are skipped. Returns false if
+// the JSON is not an endpoint list.
 bool EndpointDiscovery::report_list(const Json& json, bool cached) {
   const std::optional<EndpointList> list = parse_endpoint_list(json);
   if (!list) return false;
@@ -156,8 +164,8 @@
   watch.close(reason, version_);
   remove_watch(watch);
   if (pending_watches_.empty()) response_timer_.stop();
-  const bool attempt_is_under_way = is_local() && !pending_watches_.empty();
-  if (!retry_timer_.is_active() && !attempt_is_under_way) schedule_retry();
+  const bool local_watch_pending = is_local() && !pending_watches_.empty();
+  if (!retry_timer_.is_active() && !local_watch_pending) schedule_retry();
 }
 
 void EndpointDiscovery::remove_watch(DiscoveryWatch& watch) {
@@ -178,15 +186,16 @@
   retry_timer_.expire_after(with_jitter(backoff_));
 }
 
-// The watch may be broken, or discovery may be down: another one is opened while this one is still read.
+// The active watch may be broken, or discovery may be down. Another watch is opened, and the active one stays
+// open and is still read.
 void EndpointDiscovery::on_watch_idle_timeout() {
   log("discovery watch inactive addr=%s version=%lld", to_string(active_watch_->address()).c_str(),
       static_cast<long long>(version_));
   open_watch();
 }
 
-// A shared service gets another request beside the pending ones, of which the oldest ends when its time is
-// up.
+// No pending watch has responded in time, so another one is opened. The oldest pending watch is closed if
+// discovery is local; in the case of a shared service it is closed only after kSharedResponseTimeout.
 void EndpointDiscovery::on_watch_response_timeout() {
   DiscoveryWatch& oldest = *pending_watches_.front();
   const bool timed_out = is_local() || loop_.now() - oldest.opened_at() >= kSharedResponseTimeout;
--- a/src/net/endpoint_discovery.hpp
+++ b/src/net/endpoint_discovery.hpp
@@ -1,5 +1,5 @@
-// Keeps the endpoint list up to date: starts from the cached list, then watches discovery, and opens another
-// watch whenever the active one ends or becomes inactive.
+// Keeps the endpoint list up to date. It starts from the cached list, then watches discovery, and opens
+// another watch whenever the active one ends or becomes inactive.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -17,8 +17,8 @@
 
 namespace ironquay::net {
 
-// Where discovery runs. Requests to an agent on the same machine cost nothing; a service that all gateways
-// share is requested seldom, and by each gateway at another time.
+// Where discovery runs. Requests to an agent on the same machine are cheap. A service that all gateways share
+// gets fewer requests, and the gateways send theirs at different times.
 enum class DiscoveryKind { local_agent, shared_service };
 
 class EndpointDiscovery : DiscoveryWatch::Owner {
@@ -26,7 +26,7 @@
   class Listener {
    public:
     virtual ~Listener() = default;
-    // The entries of a list follow, then its end.
+    // A list begins. Its entries are reported next, and then its end.
     virtual void on_endpoint_list_begin(EndpointListKind kind) = 0;
     virtual void on_endpoint(const Endpoint& endpoint) = 0;
     virtual void on_endpoint_list_end() = 0;
@@ -34,17 +34,19 @@
     virtual void on_first_response() = 0;
   };
 
-  // `seed` is for the jitter of retries.
+  // `seed` seeds the generator of the jitter of startup and retry delays.
   EndpointDiscovery(EventLoop& loop, const Address& address, DiscoveryKind kind, std::uint32_t seed,
                     Listener& listener);
 
-  // Reports the endpoints of a list that was stored before this gateway started; null if there is none.
+  // Reports the endpoints of a list that was stored before this gateway started. Does nothing if the list is
+  // null.
   void load_cached(const nlohmann::json& list);
-  // Starts to watch, from the last version that is known, until the program ends.
+  // Starts to watch for changes since the last version that is known. Watching goes on until the program
+  // ends.
   void start();
-  // Requests the full list.
+  // Closes all watches and requests the full list.
   void refresh();
-  // Watches at another address. The active watch is kept until the new address has responded.
+  // Opens a watch at another address. The active watch is kept until the new address has responded.
   void set_address(const Address& address);
 
  private:
@@ -68,15 +70,15 @@
   Address address_;
   DiscoveryKind kind_;
   Listener& listener_;
-  std::unique_ptr<DiscoveryWatch> active_watch_;                  // has responded; may be inactive since
-  std::vector<std::unique_ptr<DiscoveryWatch>> pending_watches_;  // have not responded yet, the oldest first
-  std::int64_t version_ = -1;  // of the last list from this address, negative if there is none
-  bool has_responded_ = false;
-  Duration backoff_{0};
-  std::ranlux24_base random_;
-  Timer idle_timer_;      // of the active watch
-  Timer response_timer_;  // of the pending watches
-  Timer retry_timer_;
+  std::unique_ptr<DiscoveryWatch> active_watch_;                  // has responded; null if there is none
+  std::vector<std::unique_ptr<DiscoveryWatch>> pending_watches_;  // without a response so far, oldest first
+  std::int64_t version_ = -1;   // of the last list from address_; negative if there is none
+  bool has_responded_ = false;  // any watch has responded since startup
+  Duration backoff_{0};         // mean of the latest retry delay; 0 after a response
+  std::ranlux24_base random_;   // the generator of the jitter
+  Timer idle_timer_;            // fires when the active watch becomes inactive
+  Timer response_timer_;        // fires when no pending watch has responded in time
+  Timer retry_timer_;           // fires when the next watch must be opened
 };
 
 }  // namespace ironquay::net
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -12,10 +12,10 @@
 
 using Json = nlohmann::json;
 
-// Later than any clock shows; what lies beyond is not a time.
+// In Unix milliseconds. Larger values cannot be valid times and are clamped to this one.
 constexpr double kMaxStartTimeMs = 1e14;
 
-// The value of a key, or `fallback` if the key is missing or of another type.
+// Returns the value of a key, or `fallback` if the key is missing or its value has another type.
 template <typename T>
 T value_or(const Json& object, const char* key, T fallback) {
   const auto found = object.find(key);
@@ -30,7 +30,7 @@
     return found->is_number() ? found->get<T>() : fallback;
 }
 
-// A worker that is not said to be in service gets no new requests.
+// An unknown or missing health status is treated as draining, so that the worker gets no new requests.
 WorkerStatus parse_status(const std::string& health) {
   if (health == "in_service") return WorkerStatus::ready;
   if (health == "terminated") return WorkerStatus::gone;
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// The JSON form of an endpoint list, as discovery sends it and as it is cached in the configuration.
+// Parses the JSON form of an endpoint list, as discovery sends it and as it is cached in the configuration.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
@@ -17,22 +17,22 @@
   WorkerStatus status = WorkerStatus::ready;
   std::string zone;
   std::int64_t cell = 0;
-  double capacity_share = 1;  // of a usual worker's capacity
-  Duration started_at{0};     // 0: long ago
+  double capacity_share = 1;  // relative to the capacity of a normal worker, which is 1
+  Duration started_at{0};     // when the worker's process started, in Unix time; 0 if long ago or not given
 };
 
 // An endpoint list whose entries are not parsed yet. It refers to the JSON that it was read from.
 struct EndpointList {
   std::optional<std::int64_t> version;
-  bool is_full = false;  // the list has every worker; otherwise those that changed
+  bool is_full = false;  // whether the list has every worker; otherwise it has those that changed
   const nlohmann::json* entries = nullptr;
 };
 
-// Nothing if the JSON is not an endpoint list.
+// Returns an empty result if the JSON is not an endpoint list.
 std::optional<EndpointList> parse_endpoint_list(const nlohmann::json& list);
 
-// Nothing, with a log line, if an entry has no name, or is ready and has no address. Entries that are not
-// objects are dropped silently.
+// Returns an empty result and logs a line if an entry has no name, or is ready and has no valid address. An
+// entry that is not a JSON object gives an empty result without a log line.
 std::optional<Endpoint> parse_endpoint(const nlohmann::json& entry);
 
 }  // namespace ironquay::net
--- a/src/net/gateway_config.cpp
+++ b/src/net/gateway_config.cpp
@@ -21,30 +21,31 @@
   std::ifstream file(path);
   if (!file) throw ConfigError("GW_CONFIG", std::string("cannot read ") + path);
   Json json = Json::parse(file, nullptr, false);
-  if (!json.is_object()) throw ConfigError("", "no JSON object");
+  if (!json.is_object()) throw ConfigError("", "the file does not contain a JSON object");
   return json;
 }
 
-// Empty if the key is missing.
+// The value of a key; an empty string if the key is missing.
 std::string get_string(const Json& object, const char* key) {
   const auto found = object.find(key);
   if (found == object.end()) return {};
-  if (!found->is_string()) throw ConfigError(key, std::string(key) + " is no string");
+  if (!found->is_string()) throw ConfigError(key, std::string(key) + " is not a string");
   return found->get<std::string>();
 }
 
+// The value of a key or of an environment variable; `source` decides which of them takes precedence.
 std::string get_string_or_variable(const Json& object, const char* key, const char* variable,
                                    ConfigSource source) {
   const char* from_variable = std::getenv(variable);
   const std::string from_file = get_string(object, key);
   const bool variable_set = from_variable && *from_variable;
-  const bool variable_wins = source == ConfigSource::startup || from_file.empty();
-  return variable_set && variable_wins ? std::string(from_variable) : from_file;
+  const bool variable_has_precedence = source == ConfigSource::startup || from_file.empty();
+  return variable_set && variable_has_precedence ? std::string(from_variable) : from_file;
 }
 
 Address to_address(const std::string& text, const char* key) {
   const std::optional<Address> address = parse_address(text);
-  if (!address) throw ConfigError(key, std::string(key) + " is no address: '" + text + "'");
+  if (!address) throw ConfigError(key, std::string(key) + " is not an address: '" + text + "'");
   return *address;
 }
 
@@ -59,7 +60,7 @@
   std::uint64_t seed = 0;
   const char* last = digits.data() + digits.size();
   const auto [end, error] = std::from_chars(digits.data(), last, seed, 16);
-  if (error != std::errc() || end != last) throw ConfigError("seed", "seed is no row of hex digits");
+  if (error != std::errc() || end != last) throw ConfigError("seed", "seed is not a hexadecimal number");
   return seed;
 }
 
@@ -67,7 +68,7 @@
   std::vector<Address> addresses;
   const auto peers = object.find("peers");
   if (peers == object.end()) return addresses;
-  if (!peers->is_array()) throw ConfigError("peers", "peers is no list");
+  if (!peers->is_array()) throw ConfigError("peers", "peers is not a list");
   for (const Json& peer : *peers) {
     const std::string text = peer.is_string() ? peer.get<std::string>() : peer.dump();
     addresses.push_back(to_address(text, "peers"));
@@ -75,7 +76,7 @@
   return addresses;
 }
 
-// A number of the object `limits`, at least 0; `fallback` if there is none.
+// A number in the object `limits`; `fallback` if it is missing, and 0 if it is negative.
 std::size_t get_limit(const Json& object, const char* key, std::size_t fallback) {
   const auto limits = object.find("limits");
   if (limits == object.end() || !limits->is_object()) return fallback;
@@ -84,12 +85,12 @@
   return static_cast<std::size_t>(std::max(0.0, limit->get<double>()));
 }
 
-// The process cannot have more than the system permits, whatever the configuration says.
+// The configured number of file descriptors, limited to the number that the system permits.
 std::size_t get_max_descriptors(const Json& object) {
   rlimit system_limit{};
   getrlimit(RLIMIT_NOFILE, &system_limit);
-  const std::size_t permitted = system_limit.rlim_cur;
-  return std::min(get_limit(object, "sockets", permitted), permitted);
+  const std::size_t system_max = system_limit.rlim_cur;
+  return std::min(get_limit(object, "sockets", system_max), system_max);
 }
 
 }  // namespace
--- a/src/net/gossip_socket.cpp
+++ b/src/net/gossip_socket.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxMessageBytes = 256;
-// A flood of messages must not keep the event loop from everything else.
-constexpr int kMaxMessagesPerRound = 64;
+// The number of messages received per event, so that a flood of messages does not block the event loop.
+constexpr int kMaxMessagesPerEvent = 64;
 
 }  // namespace
 
@@ -22,7 +22,9 @@
       peers_(std::move(peers)),
       broadcast_(broadcast),
       listener_(listener) {
-  if (!socket_) throw std::system_error(errno, std::generic_category(), "datagrams at " + to_string(listen));
+  if (!socket_)
+    throw std::system_error(errno, std::generic_category(),
+                            "cannot bind the gossip socket to " + to_string(listen));
   token_ = loop.watch(socket_.get(), *this);
 }
 
@@ -37,7 +39,7 @@
   if (broadcast_) send_datagram(*broadcast_, bytes);
 }
 
-// Messages may be lost anyway, so one that the system does not accept now is dropped.
+// Gossip tolerates lost messages, so a message that the system does not accept immediately is dropped.
 void GossipSocket::send_datagram(const Address& address, std::string_view bytes) {
   if (bytes.size() > kMaxMessageBytes) return log("gossip message too long bytes=%zu", bytes.size());
   sendto(socket_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&address),
@@ -45,8 +47,8 @@
 }
 
 void GossipSocket::on_events(std::uint32_t events) {
-  for (int received = 0; received < kMaxMessagesPerRound; ++received) {
-    std::array<char, kMaxMessageBytes + 1> buffer{};  // one byte more, to recognize longer messages
+  for (int received = 0; received < kMaxMessagesPerEvent; ++received) {
+    std::array<char, kMaxMessageBytes + 1> buffer{};  // one more byte, to detect messages that are too long
     Address sender{};
     socklen_t sender_size = sizeof sender;
     const ssize_t size = recvfrom(socket_.get(), buffer.data(), buffer.size(), 0,
@@ -59,6 +61,7 @@
   loop_.requeue(token_, events);
 }
 
+// The number of the peer with that address; empty if there is none.
 std::optional<int> GossipSocket::find_peer(const Address& address) const {
   for (std::size_t i = 0; i < peers_.size(); ++i)
     if (same_address(peers_[i], address)) return static_cast<int>(i);
--- a/src/net/gossip_socket.hpp
+++ b/src/net/gossip_socket.hpp
@@ -1,4 +1,5 @@
-// Gossip between the gateways of a tier: short messages in UDP datagrams, which may be lost.
+// Sends and receives gossip between the gateways of a tier: short messages in UDP datagrams, which may be
+// lost.
 #pragma once
 #include <optional>
 #include <string_view>
@@ -14,19 +15,21 @@
   class Listener {
    public:
     virtual ~Listener() = default;
-    // A message has arrived from the peer with that number. The view is valid during the call.
+    // A message has arrived. `peer` is the number of the gateway that sent it. The view is valid during the
+    // call.
     virtual void on_gossip(int peer, std::string_view bytes) = 0;
   };
 
-  // `peers` are the addresses of all gateways by number, `broadcast` the address that reaches all of them.
-  // Throws std::system_error if the socket cannot be bound to `listen`.
+  // `peers` are the addresses of all gateways, indexed by their numbers; `broadcast` is the address that
+  // reaches all of them. Messages from other addresses are ignored. Throws std::system_error if the socket
+  // cannot be bound to `listen`.
   GossipSocket(EventLoop& loop, const Address& listen, std::vector<Address> peers,
                std::optional<Address> broadcast, Listener& listener);
   ~GossipSocket() override;
   GossipSocket(const GossipSocket&) = delete;
   GossipSocket& operator=(const GossipSocket&) = delete;
 
-  // Sends a message of at most 256 bytes to one peer. Does nothing for a number that no peer has.
+  // Sends a message of at most 256 bytes to one peer. Does nothing if no peer has that number.
   void send_to(int peer, std::string_view bytes);
   // Sends a message of at most 256 bytes to all gateways. Does nothing without a broadcast address.
   void broadcast(std::string_view bytes);
--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -7,7 +7,7 @@
 namespace ironquay::net {
 namespace {
 
-// No sane server sends longer lines, or more of them before the body.
+// Limits that only a faulty server exceeds: the length of a line, and the number of lines before the body.
 constexpr std::size_t kMaxLineBytes = 8192;
 constexpr int kMaxHeadLines = 100;
 
@@ -24,7 +24,7 @@
   return left.size() == right.size() && strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
 
-// False unless the whole text is a number.
+// Returns false unless the whole text is a number in the given base.
 bool parse_number(std::string_view text, int base, std::size_t& value) {
   const char* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, value, base);
@@ -37,6 +37,7 @@
   return stage_ == Stage::chunk_data || stage_ == Stage::sized_body || stage_ == Stage::body_until_close;
 }
 
+// Returns the bytes at the start of `bytes` that belong to the body or to the current chunk.
 std::string_view HttpResponseParser::take_body(std::string_view bytes) {
   if (stage_ == Stage::body_until_close) return bytes;
   const std::string_view piece = bytes.substr(0, remaining_bytes_);
@@ -44,12 +45,14 @@
   return piece;
 }
 
+// Proceeds to the next stage if the body or the current chunk is complete.
 void HttpResponseParser::end_body_if_read() {
   if (stage_ == Stage::body_until_close || remaining_bytes_ > 0) return;
   stage_ = stage_ == Stage::chunk_data ? Stage::chunk_end : Stage::complete;
 }
 
-// 0 if there is no complete line, or if the line is too long.
+// Parses the line at the start of `bytes` and returns its size with the line end. Returns 0 if the line is
+// incomplete or too long.
 std::size_t HttpResponseParser::consume_line(std::string_view bytes) {
   const auto end = bytes.find('\n');
   const bool is_complete = end != std::string_view::npos;
--- a/src/net/http_response_parser.hpp
+++ b/src/net/http_response_parser.hpp
@@ -1,4 +1,5 @@
-// An incremental parser for one HTTP/1.1 response.
+// An incremental parser of one HTTP/1.1 response: it extracts the status and the decoded body from bytes that
+// arrive in pieces.
 #pragma once
 #include <cstddef>
 #include <string_view>
@@ -7,21 +8,21 @@
 
 class HttpResponseParser {
  public:
-  // The part of the response that comes next.
+  // The part of the response to which the next bytes belong.
   enum class Stage {
-    headers,  // the status line included
-    chunk_size,
-    chunk_data,
-    chunk_end,
-    trailers,
-    sized_body,
-    body_until_close,  // the end of the connection is the end of the response
-    complete,
-    malformed,
+    headers,           // the status line and the headers
+    chunk_size,        // the line before the data of a chunk
+    chunk_data,        // the data of a chunk
+    chunk_end,         // the line end after the data of a chunk
+    trailers,          // the lines after the last chunk
+    sized_body,        // a body whose length is given by Content-Length
+    body_until_close,  // a body without a given length, which ends when the connection is closed
+    complete,          // the response has ended
+    malformed,         // the response is invalid; no further bytes are consumed
   };
 
-  // Consumes what it can of the bytes and returns their number. The rest is to be passed again, followed by
-  // further bytes. Calls `on_body` with pieces of the body, which are views into `bytes`.
+  // Parses as many bytes as possible and returns how many it has consumed. The caller must pass the rest
+  // again, followed by further bytes. Calls `on_body` with pieces of the body, which are views into `bytes`.
   template <typename OnBody>
   std::size_t consume(std::string_view bytes, OnBody on_body) {
     std::size_t consumed = 0;
@@ -41,7 +42,8 @@
     return consumed;
   }
 
-  // 0 until it is known. Interim responses (1xx) are skipped, but their status shows until the next one.
+  // The HTTP status code, or 0 before the status line is parsed. Interim responses (1xx) are skipped; the
+  // status code of an interim response is returned until the next status line is parsed.
   int status() const { return status_; }
   Stage stage() const { return stage_; }
 
@@ -60,10 +62,10 @@
 
   Stage stage_ = Stage::headers;
   int status_ = 0;
-  int head_lines_ = 0;
-  bool chunked_ = false;
+  int head_lines_ = 0;    // lines parsed before the body, the status line included
+  bool chunked_ = false;  // the transfer encoding is chunked
   bool has_content_length_ = false;
-  std::size_t remaining_bytes_ = 0;  // of the body or of the chunk
+  std::size_t remaining_bytes_ = 0;  // bytes of the body, or of the current chunk, that are not consumed yet
 };
 
 }  // namespace ironquay::net
--- a/src/net/json_splitter.hpp
+++ b/src/net/json_splitter.hpp
@@ -1,5 +1,5 @@
-// Splits a stream of bytes into JSON objects by their structure alone; an object may extend over several
-// lines.
+// Splits a stream of bytes into JSON objects. It looks only at brackets and string literals and does not
+// parse the objects. An object may extend over several lines.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -9,14 +9,15 @@
 
 class JsonSplitter {
  public:
-  // No sane server sends an object with more bytes or more nested levels. A list of ten thousand workers has
-  // some two megabytes and three levels.
+  // Limits on the size and the nesting of an object, which only a faulty server exceeds. An endpoint list of
+  // 10,000 workers has about 2 MB and three levels.
   static constexpr std::size_t kMaxObjectBytes = 16 * 1024 * 1024;
   static constexpr int kMaxDepth = 32;
 
-  // Takes the next bytes of the stream. Calls `on_object` with each complete object, as a view that is valid
-  // during the call, and `on_line` for each line that ends between objects.
-  // False, from then on, if something comes that is neither an object nor white space, or exceeds a limit.
+  // Processes the next bytes of the stream. Calls `on_object` with each complete object, as a view that is
+  // valid during the call, and `on_line` for each line that ends between objects.
+  // Returns false if the stream contains anything but objects and white space, or exceeds a limit. All later
+  // calls then return false as well.
   template <typename OnObject, typename OnLine>
   bool feed(std::string_view bytes, OnObject on_object, OnLine on_line) {
     std::size_t object_start = 0;
@@ -33,7 +34,7 @@
   }
 
  private:
-  // What a byte completes.
+  // What ends with a byte: an object, a line between objects, or neither.
   enum class Boundary { none, object_end, line_end };
 
   Boundary advance(char byte);
@@ -49,10 +50,10 @@
     partial_object_ = std::string();  // releases its memory
   }
 
-  std::string partial_object_;
-  int depth_ = 0;  // of nested objects and arrays, 0 between objects
-  bool in_string_ = false;
-  bool escaped_ = false;  // the byte before was the backslash of an escape sequence
+  std::string partial_object_;  // the received part of an object that is incomplete
+  int depth_ = 0;               // number of open objects and arrays; 0 between objects
+  bool in_string_ = false;      // within a string literal
+  bool escaped_ = false;        // the previous byte was the backslash of an escape sequence
   bool malformed_ = false;
 };
 
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -11,12 +11,13 @@
 namespace ironquay::net {
 namespace {
 
-// A deployment closes a few hundred connections at once. More lines than this, for longer, say nothing new.
+// The rate limit of the log. A deployment closes a few hundred connections at the same time, which the burst
+// covers. Lines over these limits would add no information.
 constexpr double kBurstLines = 400;
 constexpr double kLinesPerSecond = 40;
 constexpr std::size_t kMaxLineBytes = 1024;
 
-// A token bucket with one token for each line.
+// A token bucket that holds one token per line.
 class LineBudget {
  public:
   bool has_token() {
@@ -34,7 +35,8 @@
   Clock::time_point refilled_at_ = Clock::now();
 };
 
-// A reader that has stopped must not block the gateway. A pipe that polls writable accepts a whole line.
+// Whether standard error accepts a line without blocking: a reader of the log that has stopped reading must
+// not block the gateway. A pipe that poll() reports as writable accepts a whole line.
 bool can_write_line() {
   pollfd standard_error{STDERR_FILENO, POLLOUT, 0};
   return poll(&standard_error, 1, 0) == 1 && (standard_error.revents & POLLOUT);
--- a/src/net/signal_handler.hpp
+++ b/src/net/signal_handler.hpp
@@ -1,4 +1,4 @@
-// The signals that a gateway handles, as events of its loop.
+// Delivers the signals that a gateway handles as events of its event loop.
 #pragma once
 #include <functional>
 
@@ -7,13 +7,13 @@
 
 namespace ironquay::net {
 
-// Blocks SIGTERM, SIGINT and SIGHUP, so that one that comes before there is a SignalHandler waits for it.
-// Ignores SIGPIPE for good.
+// Blocks SIGTERM, SIGINT and SIGHUP, so that a signal that arrives before a SignalHandler exists stays
+// pending until then. Ignores SIGPIPE for the rest of the process's life.
 void block_handled_signals();
 
 class SignalHandler : EventLoop::Handler {
  public:
-  // Calls `on_signal` with the number of each signal. The signals must be blocked.
+  // Calls `on_signal` with the number of each signal received. block_handled_signals() must have been called.
   SignalHandler(EventLoop& loop, std::function<void(int signal)> on_signal);
   ~SignalHandler() override;
   SignalHandler(const SignalHandler&) = delete;
--- a/src/net/worker_id_map.hpp
+++ b/src/net/worker_id_map.hpp
@@ -1,4 +1,4 @@
-// The ids of the workers by name.
+// Assigns numeric ids to the workers by their names.
 #pragma once
 #include <string>
 #include <string_view>
@@ -11,12 +11,12 @@
 
 class WorkerIdMap {
  public:
-  // The id of a worker, assigned when its name is first seen. It is a hash of the name, and so the same at
-  // every gateway whatever the order in which they learn the names; in a collision the next free number is
-  // taken.
+  // Returns the id of a worker, which is assigned when its name is first seen. The id is a hash of the name,
+  // so that all gateways assign the same id, in whatever order they learn the names. If another worker has
+  // that id already, the next free number is assigned.
   WorkerId id_of(std::string_view name);
 
-  // Removes the workers whose ids satisfy the predicate, and returns those ids. They may be assigned again.
+  // Removes the workers whose ids satisfy the predicate and returns these ids. They can be assigned again.
   template <typename Predicate>
   std::vector<WorkerId> remove_if(Predicate predicate) {
     std::vector<WorkerId> removed;
