--- a/src/net/client_acceptor.cpp
+++ b/src/net/client_acceptor.cpp
@@ -12,10 +12,11 @@
 
 using namespace std::chrono_literals;
 
-// More connections yield to the other descriptors first.
+// After this many connections, events of other descriptors are handled before more are accepted.
 constexpr int kMaxAcceptsPerEvent = 64;
-// Without descriptors or memory.
+// The delay before the next attempt when the system is out of descriptors or memory.
 constexpr Duration kAcceptErrorRetryDelay = 50ms;
+// The delay before the next attempt when a lingering connection must stay open a little longer.
 constexpr Duration kLingerRetryDelay = ClientConnection::kMinLinger / 5;
 
 [[noreturn]] void throw_listen_error(const Address& address) {
@@ -28,7 +29,7 @@
     : context_(context),
       address_(address),
       socket_(bind_tcp(address)),
-      retry_(context.loop, [this] { accept_pending(); }) {
+      retry_timer_(context.loop, [this] { accept_pending(); }) {
   if (!socket_) throw_listen_error(address_);
   context_.on_connection_closed = [this] { on_connection_closed(); };
 }
@@ -48,11 +49,11 @@
 void ClientAcceptor::accept_pending() {
   if (!socket_ || !token_) return;
   for (int accepts = 0; accepts < kMaxAcceptsPerEvent; ++accepts) {
-    if (!make_room()) return;
+    if (!ensure_capacity()) return;
     Address peer{};
     FileDescriptor socket = accept_connection(socket_, peer);
     if (!socket) {
-      // The connection broke while it was waiting, or a signal came.
+      // The connection was aborted while it was waiting, or a signal interrupted the call.
       if (errno == ECONNABORTED || errno == EINTR) continue;
       if (errno == EAGAIN) return blocked_since_.reset();
       return on_accept_error(errno);
@@ -64,19 +65,20 @@
   context_.loop.requeue(*token_, EPOLLIN);
 }
 
-bool ClientAcceptor::make_room() {
-  const ConnectionLimiter::Capacity capacity = context_.limiter.make_room();
+// Returns whether a connection can be accepted now. If not, arranges for another attempt.
+bool ClientAcceptor::ensure_capacity() {
+  const ConnectionLimiter::Capacity capacity = context_.limiter.ensure_capacity();
   if (capacity == ConnectionLimiter::Capacity::available) return true;
   mark_blocked();
-  // Otherwise on_connection_closed() follows.
-  if (capacity == ConnectionLimiter::Capacity::lingering_only) retry_.expire_after(kLingerRetryDelay);
+  // In the other case, on_connection_closed() triggers the next attempt.
+  if (capacity == ConnectionLimiter::Capacity::pending_linger) retry_timer_.expire_after(kLingerRetryDelay);
   return false;
 }
 
 void ClientAcceptor::on_accept_error(int error) {
-  if (!retry_.is_active()) {
+  if (!retry_timer_.is_active()) {
     log("accept failed errno=%d connections=%zu", error, context_.connections.active().size());
-    retry_.expire_after(kAcceptErrorRetryDelay);
+    retry_timer_.expire_after(kAcceptErrorRetryDelay);
   }
   mark_blocked();
 }
--- a/src/net/client_acceptor.hpp
+++ b/src/net/client_acceptor.hpp
@@ -1,4 +1,4 @@
-// The listening socket for clients.
+// The listening socket for client connections.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,32 +12,34 @@
 
 namespace ironquay::net {
 
-// Accepts connections within the limits of ConnectionLimiter. Those beyond them wait in the system's backlog.
+// Accepts connections within the limits of ConnectionLimiter. Connections over the limits wait in the
+// system's backlog.
 class ClientAcceptor : EventLoop::Handler {
  public:
-  // Binds the address; throws std::system_error. Connections are refused until start().
+  // Binds the address. Connections are refused until start(). The context must outlive the acceptor. Throws
+  // std::system_error if the address cannot be bound.
   ClientAcceptor(ClientContext& context, const Address& address);
   ~ClientAcceptor() override;
   ClientAcceptor(const ClientAcceptor&) = delete;
   ClientAcceptor& operator=(const ClientAcceptor&) = delete;
 
-  // Throws std::system_error. Does nothing if it has been started.
+  // Starts listening. Does nothing if the acceptor has been started before. Throws std::system_error.
   void start();
-  // Accepts the connections that wait. Does nothing unless it is started and not stopped.
+  // Accepts connections from the backlog. Does nothing before start() and after stop().
   void accept_pending();
   // Closes the listening socket, so that another process can bind the address. Connections in the system's
   // backlog are reset.
   void stop() { socket_ = FileDescriptor(); }
 
   bool is_started() const { return token_.has_value(); }
-  // Whether connections may be waiting that could not be accepted.
+  // Whether connections may be waiting in the backlog because they could not be accepted.
   bool has_backlog() const { return blocked_since_.has_value(); }
-  // When a connection was last accepted; zero if none was.
+  // The time at which a connection was last accepted; zero if none has been.
   Duration last_accept() const { return last_accept_; }
 
  private:
   void on_events(std::uint32_t events) override;
-  bool make_room();
+  bool ensure_capacity();
   void on_accept_error(int error);
   void on_connection_closed();
   void mark_blocked();
@@ -45,10 +47,10 @@
   ClientContext& context_;
   Address address_;
   FileDescriptor socket_;
-  std::optional<EventLoop::Token> token_;  // once started
-  std::optional<Duration> blocked_since_;  // set while connections may wait to be accepted
+  std::optional<EventLoop::Token> token_;  // of the listening socket; set by start()
+  std::optional<Duration> blocked_since_;  // set while connections may be waiting in the backlog
   Duration last_accept_{0};
-  Timer retry_;
+  Timer retry_timer_;
 };
 
 }  // namespace ironquay::net
--- a/src/net/client_close_reason.hpp
+++ b/src/net/client_close_reason.hpp
@@ -1,24 +1,24 @@
-// Why the gateway closed a client connection.
+// The reasons for which the gateway closes client connections.
 #pragma once
 
 namespace ironquay::net {
 
 enum class ClientCloseReason {
-  client_eof,                // the client ended its side
-  client_reset,              // the connection broke
-  protocol_error,            // the client sent something that is not a command
-  quit,                      // the client asked for it
-  linger_expired,            // half-closed, and the client did not end its side in time
-  connection_limit,          // its place was needed for a new connection
-  request_connection_limit,  // too many connections that have carried requests
-  idle,
-  incomplete_command,  // idle, within a command
-  no_command,          // idle, without any command ever
-  draining,            // graceful shutdown
-  slow_reader,         // memory is short, and the client does not read its responses
+  client_eof,                // the client closed its side
+  client_reset,              // the connection was reset or failed
+  protocol_error,            // the client sent bytes that are not a valid RESP command
+  quit,                      // the client sent QUIT
+  linger_expired,            // the client did not close its side in time after the gateway's half-close
+  connection_limit,          // the connection was evicted to accept a new one
+  request_connection_limit,  // there were too many connections that have carried requests
+  idle,                      // the client was idle for too long after a complete command
+  incomplete_command,        // the client was idle for too long after a part of a command
+  no_command,                // the client was idle for too long and had sent nothing
+  draining,                  // the gateway is shutting down gracefully
+  slow_reader,               // the memory limit is exceeded and the client does not read its responses
 };
 
-// The reason code of the log.
+// The reason code that the log shows.
 const char* to_string(ClientCloseReason reason);
 
 }  // namespace ironquay::net
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -12,22 +12,23 @@
 
 using namespace std::chrono_literals;
 
-// Pending commands of a connection, and bytes of responses that its client has not read, above which it is
-// not read any further.
+// Limits per connection on commands without a written response, and on bytes of responses that wait to be
+// sent. While a connection is over either limit, the gateway reads no further commands from it.
 constexpr std::size_t kMaxPipelinedCommands = 1024;
 constexpr std::size_t kMaxUnwrittenBytes = std::size_t{256} * 1024;
-// A closing connection is closed at once when its client keeps sending.
+// A half-closed connection whose client sends more than this is closed without waiting for the linger
+// timeout.
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{1024} * 1024;
 
 }  // namespace
 
 ClientConnection::ClientConnection(ClientContext& context, FileDescriptor socket, const Address& peer,
-                                   std::optional<Duration> unseen_since)
+                                   std::optional<Duration> unread_since)
     : context_(context),
       stream_(context.loop, std::move(socket), *this, true),
       peer_(peer),
       idle_since_(context.loop.now()),
-      unseen_since_(unseen_since),
+      unread_since_(unread_since),
       linger_timer_(context.loop, [this] { on_linger_timeout(); }) {}
 
 void ClientConnection::on_events(std::uint32_t events) {
@@ -40,18 +41,19 @@
     const bool end_of_stream = stream_.connection_end() == ConnectionEnd::peer_closed;
     return close(end_of_stream ? ClientCloseReason::client_eof : ClientCloseReason::client_reset);
   }
-  // A paused stream does not read its end. Requests must not continue when their client has disconnected.
+  // A paused stream does not read up to the end of stream, so the event itself must be checked: requests must
+  // not continue after their client has disconnected.
   if (stream_.paused() && (events & EPOLLRDHUP)) return close(ClientCloseReason::client_eof);
-  if (!stream_.paused() && stream_.receive_buffer_drained()) unseen_since_.reset();
+  if (!stream_.paused() && stream_.receive_buffer_drained()) unread_since_.reset();
   after_progress();
 }
 
-// Returns how many bytes of complete commands there were.
+// Processes the complete commands in `bytes` and returns how many bytes they take up.
 std::size_t ClientConnection::consume(std::string_view bytes) {
   std::size_t consumed = 0;
   while (consumed < bytes.size()) {
     if (is_closing()) return discard(bytes.size());
-    if (must_pause()) {
+    if (should_pause_reading()) {
       pause_reading();
       break;
     }
@@ -64,26 +66,26 @@
       return bytes.size();
     }
     consumed += command.wire_bytes;
-    ++commands_;
+    ++command_count_;
     handle_command(command);
   }
   return consumed;
 }
 
-// Input of a closing connection.
+// Discards input of a closing connection. Returns `bytes`, the number of bytes discarded.
 std::size_t ClientConnection::discard(std::size_t bytes) {
   discarded_bytes_ += bytes;
   if (discarded_bytes_ > kMaxDiscardedBytes && all_responses_written()) linger_timer_.expire_after(0s);
   return bytes;
 }
 
-bool ClientConnection::must_pause() const {
+bool ClientConnection::should_pause_reading() const {
   return pipeline_.size() >= kMaxPipelinedCommands || stream_.unwritten_bytes() > kMaxUnwrittenBytes;
 }
 
 void ClientConnection::pause_reading() {
   stream_.pause();
-  if (!unseen_since_) unseen_since_ = context_.loop.now();
+  if (!unread_since_) unread_since_ = context_.loop.now();
 }
 
 void ClientConnection::handle_command(const resp::Command& command) {
@@ -110,7 +112,7 @@
   if (const RequestError* error = std::get_if<RequestError>(&result))
     return request.respond({error_response(*error)});
   request.request = std::get<RequestMessage>(result);
-  if (is_duplicate(request.request.client_request_id))
+  if (conflicts_with_open_request(request.request.client_request_id))
     return request.respond({error_response(RequestError::duplicate_request_id)});
   if (!std::exchange(has_sent_request_, true)) context_.limiter.on_request_connection_added();
   accept_request(request, command.wire_bytes);
@@ -130,18 +132,21 @@
   context_.requests.register_id(request);
 }
 
-// The client's timeout began when it sent the request, which may have gone unseen for some time.
+// Returns the time until the client's timeout. The client started its timeout when it sent the request, so
+// the time that the request may have waited unread is subtracted.
 Duration ClientConnection::time_left_of(const RequestMessage& message) const {
   const Duration now = context_.loop.now();
-  const Duration unseen = now - unseen_since_.value_or(now);
-  const Duration time_left = message.timeout - std::max(context_.loop.scheduling_delay(), unseen);
+  const Duration unread_time = now - unread_since_.value_or(now);
+  const Duration time_left = message.timeout - std::max(context_.loop.scheduling_delay(), unread_time);
   if (!context_.drain.is_draining) return time_left;
   return std::min(time_left, context_.drain.response_deadline - now);
 }
 
-// A client that disconnected and retried on a new connection may be ahead of its own end of stream. Then the
-// request before is ended, unless it was sent to a worker and is not idempotent.
-bool ClientConnection::is_duplicate(std::string_view client_request_id) {
+// Returns whether an open request with this id prevents a new one from being accepted. When a client
+// disconnects and retries on a new connection, the gateway may read the retry before the end of stream of the
+// old connection. In that case this function closes the old connection, which ends the earlier request, and
+// returns false. It does not do so if the earlier request has been sent to a worker and is not idempotent.
+bool ClientConnection::conflicts_with_open_request(std::string_view client_request_id) {
   const ClientRequest* open = context_.requests.find(client_request_id);
   if (!open) return false;
   const Route& route = context_.settings.policy_settings.routes[open->request.route];
@@ -167,7 +172,8 @@
   context_.memory.in_flight_bytes += buffered_bytes;
 }
 
-// Also writes the responses behind it that were waiting for it.
+// Writes the response to the first command in the pipeline, and then the buffered responses that directly
+// follow it.
 void ClientConnection::write_first_response(std::initializer_list<std::string_view> parts) {
   write(parts);
   remove_first_request();
@@ -196,18 +202,20 @@
   read_batch_responses_ = std::string();
 }
 
-// Follows up on what was read or written.
+// Called after bytes were read or written. Resumes reading when the limits allow it, and starts or continues
+// to close the connection when its state requires it.
 void ClientConnection::after_progress() {
   if (pipeline_.size() < kMaxPipelinedCommands / 2 && stream_.unwritten_bytes() < kMaxUnwrittenBytes / 2)
     stream_.resume();
   account_unwritten_bytes();
   if (is_slow_reader()) {
     begin_close(ClientCloseReason::slow_reader);
-    // Gives up its responses, but not from within the functions that may be running now.
+    // The timer discards the responses. They are not discarded here, because functions further up the stack
+    // may be using them.
     return linger_timer_.expire_after(0s);
   }
   if (context_.drain.is_draining && has_sent_command() && is_idle()) {
-    // What has arrived behind the last command is a command like any other.
+    // A command that the system has received but the gateway has not read yet must be processed as well.
     if (!nothing_to_read()) return stream_.schedule_read();
     begin_close(ClientCloseReason::draining);
   }
@@ -231,7 +239,7 @@
   }
   for (ClientRequest* request : shortened) {
     request->time_left = time_left;
-    // What the listener does about one request may respond to another.
+    // While the listener handles one request, it may respond to another.
     if (!request->has_response()) context_.listener.on_deadline_shortened(*request);
   }
 }
@@ -256,10 +264,11 @@
 
 void ClientConnection::on_linger_timeout() {
   if (is_lingering()) return close(ClientCloseReason::linger_expired);
-  abandon_responses();
+  discard_responses();
 }
 
-void ClientConnection::abandon_responses() {
+// Drops all responses that are not written, and half-closes the connection.
+void ClientConnection::discard_responses() {
   stream_.discard_unwritten();
   release_requests();
   half_close();
@@ -269,7 +278,7 @@
   if (closed_) return;
   closed_ = true;
   log("connection closed peer=client addr=%s reason=%s commands=%zu in_flight=%zu", to_string(peer_).c_str(),
-      to_string(close_reason_.value_or(reason)), commands_, pipeline_.size());
+      to_string(close_reason_.value_or(reason)), command_count_, pipeline_.size());
   stream_.close();
   if (std::exchange(has_sent_request_, false)) context_.limiter.on_request_connection_removed();
   release_requests();
@@ -277,12 +286,13 @@
   context_.on_connection_closed();
 }
 
-// Ends the requests without responses to them.
+// Removes all requests from the pipeline. The listener is notified of those that have no response yet.
 void ClientConnection::release_requests() {
   context_.memory.unwritten_bytes -= std::exchange(accounted_unwritten_bytes_, 0);
   auto requests = std::move(pipeline_);
   pipeline_.clear();
-  // First all, as what the listener does about one request may respond to another.
+  // All requests are detached before the listener is called, because while it handles one request, it may
+  // respond to another.
   for (const auto& request : requests) request->detach_from_connection();
   for (auto& owned : requests) {
     ClientRequest& request = *owned;
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -1,4 +1,5 @@
-// One client connection: reads its commands, writes their responses in order, and closes gracefully.
+// One client connection: reads commands, writes their responses in the order of the commands, and closes
+// gracefully.
 #pragma once
 #include <chrono>
 #include <cstddef>
@@ -25,67 +26,73 @@
 
 namespace ironquay::net {
 
-// A connection that the gateway closes takes three steps. begin_close(): no further command is accepted, but
-// the responses to earlier ones are written. Half-closed: input is read and discarded, as closing a socket
-// with unread bytes would reset the connection, and so destroy responses in transit. Closed: when the client
-// ends its side, or after a timeout.
+// The gateway closes a connection in three steps:
+// - begin_close(): The connection accepts no further command, but still writes the responses to earlier ones.
+// - Half-close: The gateway ends its side. It reads and discards input, because closing a socket with unread
+//   bytes resets the connection and destroys responses in transit. The connection is now lingering.
+// - Close: The socket is closed when the client ends its side, or after a timeout.
 class ClientConnection : public EventLoop::Handler {
  public:
-  // How long a half-closed connection waits for the client's end of stream, unless the gateway drains. It
-  // covers what the client sent before it noticed, at a few buffers' length.
+  // How long a half-closed connection waits for the client's end of stream, unless the gateway is draining.
+  // This covers what the client sends before it notices the half-close, which may be a few buffers of data.
   static constexpr Duration kLingerTimeout = std::chrono::seconds(1);
-  // The same where descriptors are short: a few round trips of the slowest client.
+  // The minimum time that a half-closed connection stays open when file descriptors run short: a few round
+  // trips of the slowest client.
   static constexpr Duration kMinLinger = std::chrono::milliseconds(50);
 
-  // `unseen_since` is set if connections have been waiting to be accepted since then.
+  // `unread_since` is the time since when connections have been waiting to be accepted; empty if they have
+  // been accepted without delay. The context must outlive the connection.
   ClientConnection(ClientContext& context, FileDescriptor socket, const Address& peer,
-                   std::optional<Duration> unseen_since);
+                   std::optional<Duration> unread_since);
 
   void on_events(std::uint32_t events) override;
 
-  // Starts closing; see above. Does nothing if it has started.
+  // Starts the graceful close described above. Does nothing if the connection is already closing.
   void begin_close(ClientCloseReason reason);
-  // Closes at once. The reason is logged unless begin_close() gave one. Does nothing if it is closed.
+  // Closes the socket immediately. Logs the reason given to begin_close(), or else `reason`. Does nothing if
+  // the connection is already closed.
   void close(ClientCloseReason reason);
-  // Shortens the deadline of the open requests to `time_left` from now.
+  // Moves the deadline of each open request to `time_left` from now, unless it is earlier already.
   void shorten_deadlines(Duration time_left);
-  // Writes a response, or keeps it until those before it have been written.
+  // Writes the response to `request`, or buffers it until the responses to all earlier commands are written.
+  // `parts` are concatenated.
   void deliver_response(ClientRequest& request, std::initializer_list<std::string_view> parts);
 
-  // No response is owed, and no part of a command has been read.
+  // Whether all responses are written and no part of a further command has been received.
   bool is_idle() const { return all_responses_written() && stream_.unread().empty(); }
-  // Whether it was accepted, last owed a response, or was half-closed at least this long ago.
+  // Whether at least `time` has passed since the connection was accepted, last completed a response, or was
+  // half-closed, whichever is latest.
   bool is_idle_for(Duration time) const { return context_.loop.now() - idle_since_ >= time; }
   bool all_responses_written() const { return pipeline_.empty() && stream_.all_written(); }
   bool has_incomplete_command() const { return !stream_.unread().empty(); }
-  bool has_sent_command() const { return commands_ > 0; }
-  // Whether it has carried a request and is not closing.
+  bool has_sent_command() const { return command_count_ > 0; }
+  // Whether the client has sent a valid request and the connection is not closing.
   bool has_sent_request() const { return has_sent_request_; }
   bool is_closing() const { return close_reason_.has_value(); }
   bool is_closed() const { return closed_; }
-  // Whether the gateway has half-closed it.
+  // Whether the gateway has half-closed the connection.
   bool is_lingering() const { return table_position.is_lingering; }
-  // See TcpStream.
+  // See the functions of the same name in TcpStream.
   bool nothing_to_read() const { return stream_.nothing_to_read(); }
   bool peer_has_disconnected() const { return stream_.peer_has_disconnected(); }
 
-  ConnectionTable::Position table_position;  // set by the table
+  ConnectionTable::Position table_position;  // maintained by ConnectionTable
 
  private:
-  // Reading commands.
+  // Read commands.
   std::size_t consume(std::string_view bytes);
   std::size_t discard(std::size_t bytes);
-  bool must_pause() const;
+  bool should_pause_reading() const;
   void pause_reading();
   void handle_command(const resp::Command& command);
   void handle_request(const resp::Command& command, CommandType type);
   void accept_request(ClientRequest& request, std::size_t command_bytes);
   Duration time_left_of(const RequestMessage& message) const;
-  bool is_duplicate(std::string_view client_request_id);
+  bool conflicts_with_open_request(std::string_view client_request_id);
   ClientRequest& enqueue_request();
   void respond_to_command(std::string_view response) { enqueue_request().respond({response}); }
 
-  // Writing responses.
+  // Write responses.
   void write_first_response(std::initializer_list<std::string_view> parts);
   void write(std::initializer_list<std::string_view> parts);
   void remove_first_request();
@@ -94,28 +101,30 @@
   void account_unwritten_bytes();
   bool is_slow_reader() const;
 
-  // Closing.
+  // Close the connection.
   void on_linger_timeout();
   void half_close();
-  void abandon_responses();
+  void discard_responses();
   void release_requests();
 
   ClientContext& context_;
   TcpStream stream_;
   Address peer_;
-  Duration idle_since_;
-  // Commands may have arrived since then and not been read: the stream was paused, or the connection was
-  // waiting to be accepted.
-  std::optional<Duration> unseen_since_;
-  Timer linger_timer_;
-  std::deque<std::unique_ptr<ClientRequest>> pipeline_;  // in the order of the commands
-  std::string read_batch_responses_;                     // written together when the read is over
+  Duration idle_since_;  // see is_idle_for()
+  // Commands may have been waiting to be read since this time, because reading was paused or because the
+  // connection had not been accepted yet. Empty if all input has been read without delay.
+  std::optional<Duration> unread_since_;
+  Timer linger_timer_;  // limits the time that the client may keep its side open
+  // The commands whose responses are not written yet, in the order in which they were received.
+  std::deque<std::unique_ptr<ClientRequest>> pipeline_;
+  // Responses produced while a batch of input is processed; they are written together after the batch.
+  std::string read_batch_responses_;
   bool in_read_batch_ = false;
-  std::size_t commands_ = 0;
+  std::size_t command_count_ = 0;  // complete commands received on this connection
   std::size_t discarded_bytes_ = 0;
-  std::size_t accounted_unwritten_bytes_ = 0;  // the part of ClientMemory::unwritten_bytes
+  std::size_t accounted_unwritten_bytes_ = 0;  // this connection's share of ClientMemory::unwritten_bytes
   bool has_sent_request_ = false;
-  std::optional<ClientCloseReason> close_reason_;  // once it is closing
+  std::optional<ClientCloseReason> close_reason_;  // set when closing begins
   bool closed_ = false;
 };
 
--- a/src/net/client_context.hpp
+++ b/src/net/client_context.hpp
@@ -1,4 +1,4 @@
-// What the client connections of a gateway share.
+// State that the client connections of a gateway share.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -14,15 +14,17 @@
 
 namespace ironquay::net {
 
-// The state of a graceful shutdown, as far as connections depend on it.
+// The part of the state of a graceful shutdown that connections depend on. Times are those of
+// EventLoop::now().
 struct DrainState {
   bool is_draining = false;
   Duration began_at{0};
-  Duration response_deadline{0};  // every response is to be written by then
-  Duration linger_timeout{0};     // of connections that are half-closed while draining
+  Duration response_deadline{0};  // the time by which every response must be written
+  Duration linger_timeout{0};     // for connections that are half-closed during the drain
 };
 
-// The parts refer to each other, so a context is neither copied nor moved.
+// The state shared by the acceptor and all client connections. Not copyable or movable, because its members
+// refer to each other.
 struct ClientContext {
   ClientContext(EventLoop& event_loop, const DecodedSettings& decoded_settings,
                 RequestListener& request_listener, std::size_t max_connections,
@@ -44,7 +46,7 @@
   RequestRegistry requests;
   ConnectionTable connections;
   ConnectionLimiter limiter;
-  std::function<void()> on_connection_closed;  // set by ClientAcceptor
+  std::function<void()> on_connection_closed;  // called after a connection is closed; set by ClientAcceptor
 };
 
 }  // namespace ironquay::net
--- a/src/net/client_drain.hpp
+++ b/src/net/client_drain.hpp
@@ -1,4 +1,4 @@
-// The graceful shutdown of the client side.
+// Graceful shutdown of the client side.
 #pragma once
 #include <functional>
 
@@ -9,24 +9,26 @@
 
 namespace ironquay::net {
 
-// Accepts connections for as long as the load balancer before the gateways may still send some, closes each
-// connection between two commands, and has every request answered before the platform may kill the process.
+// Shuts the client side down without losing requests. It accepts connections for as long as the load balancer
+// in front of the gateways may still open some, closes each connection only between two commands, and makes
+// sure that every request is answered before the platform may kill the process.
 class ClientDrain {
  public:
   ClientDrain(ClientContext& context, ClientAcceptor& acceptor);
 
-  // Starts draining; calls `on_drained` once, when it is complete. Does nothing if it has begun.
+  // Starts draining and calls `on_drained` once, when the drain is complete. Does nothing if the drain has
+  // already begun.
   void begin(std::function<void()> on_drained);
 
  private:
   void check_progress();
   void close_idle_connections() const;
-  bool expects_connections() const;
-  bool waits_for_clients() const;
+  bool may_receive_connections() const;
+  bool must_wait_for_clients() const;
 
   ClientContext& context_;
   ClientAcceptor& acceptor_;
-  Duration longest_client_timeout_{0};
+  Duration longest_client_timeout_{0};  // over all routes
   std::function<void()> on_drained_;
   Timer check_timer_;
 };
--- a/src/net/client_request.cpp
+++ b/src/net/client_request.cpp
@@ -36,7 +36,7 @@
   connection_ = nullptr;
 }
 
-// Only a request that owns its buffers is registered.
+// Removes the id from the registry. Only requests that own their buffers are registered.
 void ClientRequest::unregister_id() {
   if (connection_ && owns_buffers()) registry_.unregister_id(request.client_request_id);
 }
--- a/src/net/client_request.hpp
+++ b/src/net/client_request.hpp
@@ -1,4 +1,4 @@
-// One command of a client and its response.
+// One command of a client, with its response.
 #pragma once
 #include <cstddef>
 #include <initializer_list>
@@ -13,8 +13,9 @@
 
 class ClientConnection;
 
-// Every command of a client has one, as its response has a place in the order; those that are not requests
-// are responded to at once, with Exchange::request left empty.
+// A command in the pipeline of its connection. Every command has a ClientRequest, because responses are sent
+// in the order of the commands. A command that is not a request (such as PING) receives its response
+// immediately, and its Exchange::request stays empty.
 class ClientRequest : public Exchange {
  public:
   ClientRequest(ClientConnection& connection, RequestRegistry& registry)
@@ -23,21 +24,22 @@
   void respond_with_value(std::string_view raw_value) override;
   void reject(Duration retry_after) override;
   void fail() override;
-  // Passes a response, whose bytes are those of the parts, to the connection. Does nothing the second time.
+  // Passes the concatenated `parts` to the connection as the response. Does nothing if there is a response
+  // already.
   void respond(std::initializer_list<std::string_view> parts);
 
-  // Keeps the response until those before it have been written. Returns the bytes added.
+  // Stores the response until the responses to earlier commands are written. Returns its size in bytes.
   std::size_t buffer_response(std::initializer_list<std::string_view> parts);
   std::string_view buffered_response() const { return buffered_response_; }
   bool has_response() const { return has_response_; }
 
-  // The connection is closed: a response leads nowhere from now on.
+  // Called when the connection drops the request. Responses are ignored from then on.
   void detach_from_connection();
-  // Null once detached.
+  // The connection that received the command; null after detach_from_connection().
   ClientConnection* connection() const { return connection_; }
 
-  Duration deadline{0};             // of EventLoop::now()
-  std::size_t accounted_bytes = 0;  // the part of ClientMemory::in_flight_bytes
+  Duration deadline{0};             // when the response is due, in the time of EventLoop::now()
+  std::size_t accounted_bytes = 0;  // this request's share of ClientMemory::in_flight_bytes
 
  private:
   void unregister_id();
--- a/src/net/connection_limiter.hpp
+++ b/src/net/connection_limiter.hpp
@@ -1,5 +1,5 @@
-// Limits on client connections: their number, their idle time, and how many may occupy a gateway with
-// requests.
+// Limits on client connections: their total number, their idle time, and the number of those that have
+// carried requests.
 #pragma once
 #include <cstddef>
 
@@ -11,19 +11,22 @@
 
 class ConnectionLimiter {
  public:
-  // Whether there is a place for a new connection.
+  // Whether a new connection can be accepted.
   enum class Capacity {
     available,
-    exhausted,      // until a connection closes or becomes idle
-    lingering_only  // until a half-closed connection has lingered for long enough; try again soon
+    exhausted,      // not until a connection closes or becomes idle
+    pending_linger  // not until a half-closed connection has lingered for kMinLinger; retry soon
   };
 
+  // Both references must outlive the limiter. `max_connections` is the limit on connections that are not
+  // half-closed.
   ConnectionLimiter(EventLoop& loop, ConnectionTable& connections, std::size_t max_connections);
 
-  // Evicts a connection if that is needed to make a place.
-  Capacity make_room();
+  // Returns whether a connection can be accepted, evicting another connection if that is necessary.
+  Capacity ensure_capacity();
 
-  // Counts the connections that have carried a request and are not closing. Adding one may evict an idle one.
+  // These count the connections that have carried a request and are not closing. If an added connection
+  // exceeds the limit, an idle one is closed.
   void on_request_connection_added();
   void on_request_connection_removed() { --request_connections_; }
 
@@ -36,8 +39,8 @@
   EventLoop& loop_;
   ConnectionTable& connections_;
   std::size_t max_connections_;
-  std::size_t request_connections_ = 0;
-  Timer idle_check_;
+  std::size_t request_connections_ = 0;  // connections that have carried a request and are not closing
+  Timer idle_check_timer_;
 };
 
 }  // namespace ironquay::net
--- a/src/net/connection_table.hpp
+++ b/src/net/connection_table.hpp
@@ -1,4 +1,4 @@
-// The client connections of a gateway, in the order of their use.
+// The client connections of a gateway, ordered by when they were last used.
 #pragma once
 #include <list>
 #include <memory>
@@ -8,11 +8,13 @@
 
 class ClientConnection;
 
-// Owns the connections. A connection is active until it is half-closed by the gateway, then lingering.
+// Owns the connections. A connection is active until the gateway half-closes it; from then on it is
+// lingering.
 class ConnectionTable {
  public:
   using List = std::list<std::unique_ptr<ClientConnection>>;
-  // Where a connection is; the connection keeps it for the table.
+  // The position of a connection in the table. The connection stores it so that the table finds it in
+  // constant time.
   struct Position {
     List::iterator iterator;
     bool is_lingering = false;
@@ -24,18 +26,20 @@
   ConnectionTable& operator=(const ConnectionTable&) = delete;
 
   void add(std::unique_ptr<ClientConnection> connection);
-  // Makes an active connection the one that was used last.
+  // Makes an active connection the most recently used one.
   void mark_used(ClientConnection& connection);
   void move_to_lingering(ClientConnection& connection);
+  // Removes the connection and passes its ownership to the caller.
   std::unique_ptr<ClientConnection> remove(ClientConnection& connection);
 
   bool empty() const { return active_.empty() && lingering_.empty(); }
-  // Least recently used first.
+  // The active connections, least recently used first.
   const List& active() const { return active_; }
-  // Half-closed for longest first.
+  // The lingering connections, in the order in which they were half-closed.
   const List& lingering() const { return lingering_; }
-  // The active connections, for loops that may close some of them. EventLoop::destroy_later() keeps the
-  // closed ones valid.
+  // A copy of the list of active connections, for loops that may close some of them. The pointers stay valid
+  // for the current iteration of the event loop, because EventLoop::destroy_later() delays the destruction of
+  // closed connections.
   std::vector<ClientConnection*> active_snapshot() const;
 
  private:
--- a/src/net/frontend.hpp
+++ b/src/net/frontend.hpp
@@ -1,4 +1,5 @@
-// The client side of the gateway: accepts connections, passes requests on, and returns their responses.
+// The client side of the gateway: accepts client connections, passes their requests to a listener, and
+// returns the responses.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -17,15 +18,17 @@
  public:
   using Listener = RequestListener;
 
-  // Binds the address; throws std::system_error. Connections are refused until start_accepting(). Opens at
-  // most about `max_connections` descriptors, and rejects requests beyond `memory_limit_bytes`. The settings
-  // and the listener must outlive the frontend.
+  // Binds the address. Connections are refused until start_accepting(). The frontend uses about
+  // `max_connections` file descriptors at most, and rejects requests while the requests and responses that it
+  // holds exceed `memory_limit_bytes`. The loop, the settings and the listener must outlive the frontend.
+  // Throws std::system_error if the address cannot be bound.
   Frontend(EventLoop& loop, const Address& address, const DecodedSettings& settings,
            std::size_t max_connections, std::size_t memory_limit_bytes, Listener& listener);
 
-  // Throws std::system_error. Does nothing the second time, or when draining.
+  // Starts listening for connections. Does nothing if the frontend is already listening or draining. Throws
+  // std::system_error.
   void start_accepting();
-  // Shuts down gracefully; see ClientDrain. Calls `on_drained` once.
+  // Starts a graceful shutdown (see ClientDrain) and calls `on_drained` once, when it is complete.
   void drain(std::function<void()> on_drained);
 
  private:
