--- a/src/lab/emulator/client_population.cpp
+++ b/src/lab/emulator/client_population.cpp
@@ -8,6 +8,7 @@
 namespace ironquay::lab {
 namespace {
 
+// The highest factor of all bursts, by plan; 1 for a plan without bursts.
 std::vector<double> max_burst_factors(const Scenario& scenario) {
   std::vector<double> factors(scenario.plans.size(), 1);
   for (const Fault& fault : scenario.faults)
@@ -15,6 +16,8 @@
   return factors;
 }
 
+// Whether a client retries the request after this response. A failed request may have been executed, so
+// clients retry it only if its route is idempotent.
 bool should_retry(const GatewayResponse& response, const Route& route) {
   switch (response.kind) {
     case ResponseKind::served:
@@ -56,11 +59,11 @@
 
 void ClientPopulation::start() {
   for (std::size_t i = 0; i < customers_.size(); ++i) schedule_arrival(static_cast<int>(i));
-  rotate_favoured_gateways();
+  rotate_preferred_gateways();
 }
 
-// How many times its usual demand a plan has at present.
-double ClientPopulation::burst_factor(std::size_t plan) const {
+// The plan's current demand, as a multiple of its demand without bursts.
+double ClientPopulation::current_burst_factor(std::size_t plan) const {
   double factor = 1;
   for (const Fault& fault : scenario_.faults) {
     if (fault.kind != FaultKind::burst || fault.plan != plan) continue;
@@ -70,20 +73,23 @@
   return factor;
 }
 
-// Arrivals are drawn at the rate of the highest burst, and thinned out to the present rate.
-void ClientPopulation::schedule_arrival(int index) {
-  const Customer& customer = customer_at(index);
+// Draws arrivals at the rate of the highest burst and accepts each with the ratio of the current rate to that
+// rate (thinning), so that the arrivals form a Poisson process with the current rate.
+void ClientPopulation::schedule_arrival(int customer_index) {
+  const Customer& customer = customer_at(customer_index);
   if (customer.request_rate <= 0) return;
   const double max_factor = max_burst_factors_[customer.plan];
   const double mean_interval = 1 / (customer.request_rate * max_factor);
-  events_.schedule_in(from_seconds(arrivals_.exponential(mean_interval)), [this, index, max_factor] {
+  events_.schedule_in(from_seconds(arrivals_.exponential(mean_interval)), [this, customer_index, max_factor] {
     if (events_.now() > scenario_.length) return;
-    const Session session = draw_session(index);
-    if (arrivals_.chance(burst_factor(customer_at(index).plan) / max_factor)) begin(session);
-    schedule_arrival(index);
+    const Session session = draw_session(customer_index);
+    const double burst_factor = current_burst_factor(customer_at(customer_index).plan);
+    if (arrivals_.chance(burst_factor / max_factor)) start_session(session);
+    schedule_arrival(customer_index);
   });
 }
 
+// Draws the route and the units of a customer's next request.
 ClientPopulation::Session ClientPopulation::draw_session(int customer) {
   Session session;
   session.customer = customer;
@@ -91,8 +97,8 @@
       arrivals_.weighted_index(scenario_.routes, [](const RouteTraffic& route) { return route.weight; });
   const auto max_units = static_cast<std::size_t>(scenario_.policy_settings.max_units);
   session.units = 1 + static_cast<double>(arrivals_.below(max_units));
-  session.began_at = events_.now();
-  session.retries_left = scenario_.clients.max_retries;
+  session.started_at = events_.now();
+  session.remaining_retries = scenario_.clients.max_retries;
   return session;
 }
 
@@ -101,33 +107,37 @@
   return {plan, session.route, route_of(session).priority_weight * session.units, session.within_quota};
 }
 
-void ClientPopulation::begin(Session session) {
+void ClientPopulation::start_session(Session session) {
   Customer& customer = customer_at(session.customer);
   customer.units_requested += session.units;
-  customer.requested_quota.refill(events_.now());
-  session.within_quota = customer.requested_quota.try_take(session.units);
+  customer.requested_bucket.refill(events_.now());
+  session.within_quota = customer.requested_bucket.try_take(session.units);
   statistics_.on_request(events_.now(), sample(session));
   send(session);
 }
 
-// Sends the client's first request or a retry.
+// Sends the request, for the first time or as a retry. The request fails if the client would time out before
+// a response could arrive.
 void ClientPopulation::send(const Session& session) {
   const Duration latency = scenario_.network.one_way_latency;
-  const Duration time_left = session.began_at + route_of(session).client_timeout - events_.now();
+  const Duration remaining_time = session.started_at + route_of(session).client_timeout - events_.now();
   EmulatedGateway* gateway = choose_gateway(customer_at(session.customer));
   const RequestId id = ++last_request_id_;
-  if (!gateway) return finish(session, RequestOutcome::lost);
-  if (time_left <= 2 * latency) return finish(session, RequestOutcome::failed);
-  events_.schedule_in(latency,
-                      [this, session, id, gateway, time_left] { deliver(session, id, *gateway, time_left); });
+  if (!gateway) return finish_session(session, RequestOutcome::lost);
+  if (remaining_time <= 2 * latency) return finish_session(session, RequestOutcome::failed);
+  events_.schedule_in(latency, [this, session, id, gateway, remaining_time] {
+    deliver(session, id, *gateway, remaining_time);
+  });
 }
 
-// Gateways that do not run are skipped. Null if none of the customer's gateways runs.
+// Chooses one of the customer's gateways at random. With a skew above 0, gateways closer to the preferred one
+// are chosen more often. Skips gateways that are not running; returns null if none of the customer's gateways
+// is running.
 EmulatedGateway* ClientPopulation::choose_gateway(const Customer& customer) {
   const double exponent = 1 + 2 * scenario_.assignment.skew;
   const int rank = static_cast<int>(std::pow(choices_.uniform(), exponent) * customer.gateway_spread);
   for (int i = 0; i < customer.gateway_spread; ++i) {
-    const int offset = (customer.favoured + rank + i) % customer.gateway_spread;
+    const int offset = (customer.preferred_offset + rank + i) % customer.gateway_spread;
     const int index = (customer.first_gateway + offset) % scenario_.gateway_count();
     EmulatedGateway& gateway = *gateways_[static_cast<std::size_t>(index)];
     if (gateway.is_running()) return &gateway;
@@ -135,8 +145,9 @@
   return nullptr;
 }
 
+// The request arrives at the gateway.
 void ClientPopulation::deliver(const Session& session, RequestId id, EmulatedGateway& gateway,
-                               Duration time_left) {
+                               Duration remaining_time) {
   if (!gateway.is_running()) return on_response(session, {ResponseKind::disconnected, Duration(0)});
   const Customer& customer = customer_at(session.customer);
   ClientRequest request;
@@ -148,51 +159,56 @@
   request.units = session.units;
   request.first_gateway = customer.first_gateway;
   request.gateway_spread = customer.gateway_spread;
-  request.time_left = time_left - scenario_.network.one_way_latency;
-  request.is_retry = session.retries_left < scenario_.clients.max_retries;
+  request.remaining_time = remaining_time - scenario_.network.one_way_latency;
+  request.is_retry = session.remaining_retries < scenario_.clients.max_retries;
   request.on_forwarded = [this, session] { on_forwarded(session.customer, session.units); };
   request.on_response = [this, session](const GatewayResponse& response) { on_response(session, response); };
   if (choices_.chance(scenario_.clients.abandon_probability))
-    schedule_disconnect(session, id, gateway, time_left);
+    schedule_disconnect(session, id, gateway, remaining_time);
   gateway.receive_request(std::move(request));
 }
 
+// Schedules a disconnection of the client at a random time before its timeout.
 void ClientPopulation::schedule_disconnect(const Session& session, RequestId id, EmulatedGateway& gateway,
-                                           Duration time_left) {
-  const Duration delay = from_seconds(to_seconds(time_left) * choices_.uniform());
+                                           Duration remaining_time) {
+  const Duration delay = from_seconds(to_seconds(remaining_time) * choices_.uniform());
   events_.schedule_in(delay, [this, session, id, &gateway] {
-    if (gateway.disconnect_client(id)) finish(session, RequestOutcome::failed);
+    if (gateway.disconnect_client(id)) finish_session(session, RequestOutcome::failed);
   });
 }
 
-void ClientPopulation::on_forwarded(int index, double units) {
-  Customer& customer = customer_at(index);
+void ClientPopulation::on_forwarded(int customer_index, double units) {
+  Customer& customer = customer_at(customer_index);
   customer.units_forwarded += units;
-  customer.forwarded_quota.refill(events_.now());
-  const bool within_quota = customer.forwarded_quota.try_take(units);
-  statistics_.on_forwarded(events_.now(), units, customer.heavy, within_quota);
+  customer.forwarded_bucket.refill(events_.now());
+  const bool within_quota = customer.forwarded_bucket.try_take(units);
+  statistics_.on_forwarded(events_.now(), units, customer.is_heavy, within_quota);
 }
 
+// The client receives the response to its request and either retries the request or ends its session.
 void ClientPopulation::on_response(Session session, const GatewayResponse& response) {
   const Route& route = route_of(session);
-  if (session.retries_left == 0 || !should_retry(response, route))
-    return finish(session, outcome_of(response, events_.now() - session.began_at, route));
-  --session.retries_left;
-  const bool follows_advice =
+  if (session.remaining_retries == 0 || !should_retry(response, route))
+    return finish_session(session, outcome_of(response, events_.now() - session.started_at, route));
+  --session.remaining_retries;
+  const bool honours_retry_after =
       response.retry_after > Duration(0) && choices_.chance(scenario_.clients.honours_retry_after);
-  const Duration delay = follows_advice ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
+  const Duration delay =
+      honours_retry_after ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
   events_.schedule_in(delay, [this, session] { send(session); });
 }
 
-void ClientPopulation::finish(const Session& session, RequestOutcome outcome) {
-  statistics_.on_request_end(events_.now(), sample(session), outcome, events_.now() - session.began_at);
+void ClientPopulation::finish_session(const Session& session, RequestOutcome outcome) {
+  statistics_.on_request_end(events_.now(), sample(session), outcome, events_.now() - session.started_at);
 }
 
-void ClientPopulation::rotate_favoured_gateways() {
+// Draws a new preferred gateway for every customer and schedules the next rotation.
+void ClientPopulation::rotate_preferred_gateways() {
   for (Customer& customer : customers_)
-    customer.favoured = static_cast<int>(choices_.below(static_cast<std::size_t>(customer.gateway_spread)));
+    customer.preferred_offset =
+        static_cast<int>(choices_.below(static_cast<std::size_t>(customer.gateway_spread)));
   if (events_.now() < scenario_.length)
-    events_.schedule_in(scenario_.assignment.rotation_period, [this] { rotate_favoured_gateways(); });
+    events_.schedule_in(scenario_.assignment.rotation_period, [this] { rotate_preferred_gateways(); });
 }
 
 }  // namespace ironquay::lab
--- a/src/lab/emulator/client_population.hpp
+++ b/src/lab/emulator/client_population.hpp
@@ -1,5 +1,5 @@
-// The clients of an emulation: requests arrive independently of their responses (an open model), and clients
-// retry what was rejected or failed.
+// The clients of an emulation. Requests arrive independently of the responses to earlier ones (an open
+// model), and clients retry requests that were rejected or failed.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -24,14 +24,14 @@
   const std::vector<Customer>& customers() const { return customers_; }
 
  private:
-  // A client with its request, over all retries.
+  // One request of a client, together with its retries.
   struct Session {
-    int customer = 0;
-    std::size_t route = 0;
+    int customer = 0;       // index into customers_
+    std::size_t route = 0;  // index into Scenario::routes
     double units = 0;
-    Duration began_at{0};
-    int retries_left = 0;
-    bool within_quota = false;
+    Duration started_at{0};
+    int remaining_retries = 0;
+    bool within_quota = false;  // whether the customer's quota covered the request when it first arrived
   };
 
   Customer& customer_at(int index) { return customers_[static_cast<std::size_t>(index)]; }
@@ -39,19 +39,19 @@
     return scenario_.policy_settings.routes[session.route];
   }
   RequestSample sample(const Session& session) const;
-  double burst_factor(std::size_t plan) const;
-  void schedule_arrival(int index);
+  double current_burst_factor(std::size_t plan) const;
+  void schedule_arrival(int customer_index);
   Session draw_session(int customer);
-  void begin(Session session);
+  void start_session(Session session);
   void send(const Session& session);
   EmulatedGateway* choose_gateway(const Customer& customer);
-  void deliver(const Session& session, RequestId id, EmulatedGateway& gateway, Duration time_left);
+  void deliver(const Session& session, RequestId id, EmulatedGateway& gateway, Duration remaining_time);
   void schedule_disconnect(const Session& session, RequestId id, EmulatedGateway& gateway,
-                           Duration time_left);
-  void on_forwarded(int index, double units);
+                           Duration remaining_time);
+  void on_forwarded(int customer_index, double units);
   void on_response(Session session, const GatewayResponse& response);
-  void finish(const Session& session, RequestOutcome outcome);
-  void rotate_favoured_gateways();
+  void finish_session(const Session& session, RequestOutcome outcome);
+  void rotate_preferred_gateways();
 
   EventQueue& events_;
   const Scenario& scenario_;
@@ -59,7 +59,7 @@
   RandomStream choices_;
   GatewayFleet& gateways_;
   TrafficStatistics& statistics_;
-  std::vector<Customer> customers_;        // never resized, as requests refer to the names
+  std::vector<Customer> customers_;        // never resized: requests hold views of the customers' names
   std::vector<double> max_burst_factors_;  // by plan
   RequestId last_request_id_ = 0;
 };
--- a/src/lab/emulator/customer.cpp
+++ b/src/lab/emulator/customer.cpp
@@ -8,8 +8,9 @@
 namespace ironquay::lab {
 namespace {
 
-// Spreads consecutive numbers over names that look like customers' identifiers.
-std::string make_name(std::size_t index) {
+// Returns a name of 16 hexadecimal digits. The multiplication spreads consecutive indices over the range of
+// names.
+std::string customer_name(std::size_t index) {
   constexpr std::uint64_t kMultiplier = 2654435761u;
   constexpr std::uint64_t kModulus = std::uint64_t(1) << 33;
   char name[24];
@@ -21,18 +22,18 @@
 Customer make_customer(const Scenario& scenario, std::size_t plan, std::size_t index, RandomStream& random) {
   const PlanDemand& demand = scenario.plans[plan];
   const QuotaPlan& quota = scenario.policy_settings.plans[plan];
-  const int gateways = scenario.gateway_count();
-  const auto spread = static_cast<int>(std::lround(scenario.assignment.spread * gateways));
+  const int gateway_count = scenario.gateway_count();
+  const auto spread = static_cast<int>(std::lround(scenario.assignment.spread * gateway_count));
   Customer customer;
-  customer.name = make_name(index);
+  customer.name = customer_name(index);
   customer.plan = plan;
-  customer.gateway_spread = std::clamp(spread, 1, gateways);
-  customer.first_gateway = static_cast<int>(random.below(static_cast<std::size_t>(gateways)));
-  customer.heavy = random.chance(demand.heavy_share);
-  const double use = customer.heavy ? demand.heavy_use : demand.usual_use;
-  customer.request_rate = quota.rate * use / scenario.mean_units();
-  customer.requested_quota = TokenBucket(quota.rate, quota.burst, quota.burst, Duration(0));
-  customer.forwarded_quota = customer.requested_quota;
+  customer.gateway_spread = std::clamp(spread, 1, gateway_count);
+  customer.first_gateway = static_cast<int>(random.below(static_cast<std::size_t>(gateway_count)));
+  customer.is_heavy = random.chance(demand.heavy_share);
+  const double quota_use = customer.is_heavy ? demand.heavy_use : demand.usual_use;
+  customer.request_rate = quota.rate * quota_use / scenario.mean_units();
+  customer.requested_bucket = TokenBucket(quota.rate, quota.burst, quota.burst, Duration(0));
+  customer.forwarded_bucket = customer.requested_bucket;
   return customer;
 }
 
--- a/src/lab/emulator/customer.hpp
+++ b/src/lab/emulator/customer.hpp
@@ -1,4 +1,4 @@
-// The customers of an emulation.
+// The customers of an emulation: their quotas, their demand and the gateways that they use.
 #pragma once
 #include <string>
 #include <vector>
@@ -11,19 +11,24 @@
 
 struct Customer {
   std::string name;
-  std::size_t plan = 0;
-  int first_gateway = 0;    // its gateways are numbered consecutively from this one,
-  int gateway_spread = 1;   // this many of them, wrapping around
-  int favoured = 0;         // offset of the gateway that gets most of its requests at present
-  double request_rate = 0;  // requests per second, outside bursts
-  bool heavy = false;
-  TokenBucket requested_quota;  // what would be left of the quota if every request was admitted
-  TokenBucket forwarded_quota;  // what is left of it, given the requests that were forwarded
-  double units_requested = 0;   // retries not included
-  double units_forwarded = 0;
+  std::size_t plan = 0;  // index into Scenario::plans and PolicySettings::plans
+  // The customer uses `gateway_spread` consecutively numbered gateways, starting with `first_gateway` and
+  // wrapping around after the last gateway.
+  int first_gateway = 0;
+  int gateway_spread = 1;
+  // Offset, from `first_gateway`, of the gateway that currently receives most of the customer's requests if
+  // the scenario distributes them unevenly.
+  int preferred_offset = 0;
+  double request_rate = 0;       // requests per second, outside of bursts
+  bool is_heavy = false;         // whether its demand is that of a heavy customer of the plan
+  TokenBucket requested_bucket;  // decides which new requests the quota covers
+  TokenBucket forwarded_bucket;  // decides which forwarded requests the quota covers
+  double units_requested = 0;    // units of all requests; client retries are not counted
+  double units_forwarded = 0;    // units of the requests that gateways forwarded to a worker
 };
 
-// Makes the customers of all plans.
+// Creates the customers of all plans, plan by plan. Draws the gateways of each customer, and whether it is
+// heavy, from `random`.
 std::vector<Customer> make_customers(const Scenario& scenario, RandomStream& random);
 
 }  // namespace ironquay::lab
--- a/src/lab/emulator/emulated_counter.cpp
+++ b/src/lab/emulator/emulated_counter.cpp
@@ -7,7 +7,7 @@
 namespace ironquay::lab {
 namespace {
 
-// A slowdown factor must not stop time.
+// Lower bound of a slowdown factor. With a factor of 0, calls would take no simulated time.
 constexpr double kMinSlowdown = 1e-3;
 
 }  // namespace
@@ -17,25 +17,26 @@
   ++calls_;
   const Duration latency = scenario_.network.one_way_latency;
   const Duration timeout = scenario_.policy_settings.capabilities.counter_timeout;
-  const auto time_out = [on_result] { on_result(Outcome::timed_out, 0); };
+  const auto report_timeout = [on_result] { on_result(Outcome::timed_out, 0); };
   if (refusing_)
     return events_.schedule_in(2 * latency, [on_result] { on_result(Outcome::connect_failed, 0); });
-  if (silent_) return events_.schedule_in(timeout, time_out);
+  if (silent_) return events_.schedule_in(timeout, report_timeout);
   Replica& replica = replica_for(gateway);
   const Duration sent_at = events_.now();
-  const Duration arrival = sent_at + latency;
+  const Duration arrives_at = sent_at + latency;
   replica.busy_until =
-      std::max(replica.busy_until, arrival) + from_seconds(slowdown_ / scenario_.counter.rate);
-  // The call is executed in its turn, whether its gateway still waits for it or not.
+      std::max(replica.busy_until, arrives_at) + from_seconds(slowdown_ / scenario_.counter.rate);
+  // The replica executes the call in its turn, even if the gateway's call has timed out by then.
   events_.schedule_at(replica.busy_until, [=, this, &replica, name = std::string(name)] {
     const double total = execute(replica, name, amount, lifetime);
-    const Duration answered_at = events_.now() + latency;
-    if (answered_at <= sent_at + timeout)
-      events_.schedule_at(answered_at, [on_result, total] { on_result(Outcome::success, total); });
+    const Duration reply_arrives_at = events_.now() + latency;
+    if (reply_arrives_at <= sent_at + timeout)
+      events_.schedule_at(reply_arrives_at, [on_result, total] { on_result(Outcome::success, total); });
   });
-  if (replica.busy_until + latency > sent_at + timeout) events_.schedule_in(timeout, time_out);
+  if (replica.busy_until + latency > sent_at + timeout) events_.schedule_in(timeout, report_timeout);
 }
 
+// Returns the total after the addition.
 double EmulatedCounter::execute(Replica& replica, const std::string& name, double amount, Duration lifetime) {
   Total& total = replica.totals[name];
   if (total.expires_at <= events_.now()) total = {0, events_.now() + lifetime};
--- a/src/lab/emulator/emulated_counter.hpp
+++ b/src/lab/emulator/emulated_counter.hpp
@@ -1,4 +1,4 @@
-// The counter service of the emulator.
+// The counter service of the emulator: named totals to which gateways add amounts.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,31 +12,32 @@
 
 namespace ironquay::lab {
 
-// Serves one call after another, at a fixed rate. While it is split, every second gateway reaches a replica
-// that started empty.
+// Executes one call at a time, at a fixed rate. During a counter_split fault, gateways with an odd index
+// reach a second replica, which starts empty.
 class EmulatedCounter {
  public:
-  // Called when the result reaches the gateway, or its timeout has expired. `total` is valid on success.
+  // Receives the result of a call when the reply reaches the gateway, or when the call times out. `total` is
+  // the total after the addition, in units; it is meaningful only if the outcome is `success`.
   using OnResult = std::function<void(Outcome, double total)>;
 
   // The references must outlive this object.
   EmulatedCounter(EventQueue& events, const Scenario& scenario) : events_(events), scenario_(scenario) {}
 
-  // Adds to a named total, which expires `lifetime` after it was first used. A call that times out may still
-  // be executed.
+  // Adds `amount` to the total `name`. The total expires `lifetime` after its first use. A call that times
+  // out at the gateway is still executed, unless a fault prevents that.
   void add(int gateway, std::string_view name, double amount, Duration lifetime, const OnResult& on_result);
-  // Injects a fault of the counter_* kinds; it ends after its length.
+  // Begins a fault of one of the counter_* kinds, which ends after its length.
   void inject(const Fault& fault);
-  // How many calls were made.
+  // The number of calls to add(), including those that failed.
   std::uint64_t calls() const { return calls_; }
 
  private:
   struct Total {
-    double value = 0;
+    double value = 0;  // units
     Duration expires_at{0};
   };
   struct Replica {
-    Duration busy_until{0};
+    Duration busy_until{0};  // when the last queued call has been executed
     std::map<std::string, Total> totals;
   };
 
@@ -47,11 +48,12 @@
 
   EventQueue& events_;
   const Scenario& scenario_;
-  Replica replicas_[2];
+  Replica replicas_[2];  // the second one is used only during a counter_split fault
+  // The faults that are active.
   bool split_ = false;
   bool refusing_ = false;
   bool silent_ = false;
-  double slowdown_ = 1;
+  double slowdown_ = 1;  // multiplies the execution time of a call
   std::uint64_t calls_ = 0;
 };
 
--- a/src/lab/emulator/emulated_discovery.cpp
+++ b/src/lab/emulator/emulated_discovery.cpp
@@ -15,18 +15,18 @@
 void EmulatedDiscovery::publish(int worker, WorkerStatus status, Duration started_at) {
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
     Watch& watch = watches_[i];
-    const Duration sent_at = std::max(events_.now(), watch.silent_until);
-    const Duration arrival = sent_at + random_.jittered(scenario_.network.discovery_delay);
-    watch.last_delivery = std::max(watch.last_delivery, arrival);
+    const Duration sent_at = std::max(events_.now(), watch.suspended_until);
+    const Duration arrives_at = sent_at + random_.jittered(scenario_.network.discovery_delay);
+    watch.last_delivery = std::max(watch.last_delivery, arrives_at);
     events_.schedule_at(watch.last_delivery, [this, i, worker, status, started_at] {
       gateways_[i]->receive_endpoint(worker, status, started_at);
     });
   }
 }
 
-void EmulatedDiscovery::silence(int gateway, Duration length) {
-  Duration& until = watches_[static_cast<std::size_t>(gateway)].silent_until;
-  until = std::max(until, events_.now() + length);
+void EmulatedDiscovery::suspend_updates(int gateway, Duration length) {
+  Duration& suspended_until = watches_[static_cast<std::size_t>(gateway)].suspended_until;
+  suspended_until = std::max(suspended_until, events_.now() + length);
 }
 
 }  // namespace ironquay::lab
--- a/src/lab/emulator/emulated_discovery.hpp
+++ b/src/lab/emulator/emulated_discovery.hpp
@@ -1,5 +1,5 @@
-// The discovery service of the emulator: every gateway receives each endpoint update after a delay of its
-// own, in order.
+// The discovery service of the emulator. Each gateway receives every endpoint update after a random delay of
+// its own, in the order in which the updates were published.
 #pragma once
 #include <vector>
 
@@ -15,15 +15,16 @@
   // The references must outlive this object.
   EmulatedDiscovery(EventQueue& events, const Scenario& scenario, std::uint32_t seed, GatewayFleet& gateways);
 
-  // Sends the status of a worker to all gateways.
+  // Sends the status of a worker to all gateways. `started_at` is when the worker started.
   void publish(int worker, WorkerStatus status, Duration started_at);
-  // Holds back what is sent to a gateway from now on.
-  void silence(int gateway, Duration length);
+  // Delays the updates that are published from now on to this gateway until `length` has passed.
+  void suspend_updates(int gateway, Duration length);
 
  private:
+  // The state of one gateway's watch.
   struct Watch {
-    Duration last_delivery{0};
-    Duration silent_until{0};
+    Duration last_delivery{0};    // when the last published update arrives; later ones do not overtake it
+    Duration suspended_until{0};  // updates published before this time are sent at this time
   };
 
   EventQueue& events_;
--- a/src/lab/emulator/emulated_gateway.cpp
+++ b/src/lab/emulator/emulated_gateway.cpp
@@ -6,9 +6,10 @@
 namespace ironquay::lab {
 namespace {
 
+// Seeds of policies are drawn from 0 to kSeedRange - 1.
 constexpr std::size_t kSeedRange = std::size_t(1) << 31;
 
-// The policy numbers workers from 1.
+// The emulator numbers workers from 0, the policy from 1.
 WorkerId to_worker_id(int worker) { return static_cast<WorkerId>(worker + 1); }
 int to_worker_index(WorkerId id) { return static_cast<int>(id) - 1; }
 
@@ -17,7 +18,7 @@
 EmulatedGateway::EmulatedGateway(const Environment& environment, int index)
     : environment_(environment), index_(index) {
   const double rate_limit = environment.scenario.policy_settings.capabilities.gossip_rate_limit;
-  gossip_budget_ = TokenBucket(rate_limit, rate_limit, 0, Duration(0));
+  gossip_rate_limiter_ = TokenBucket(rate_limit, rate_limit, 0, Duration(0));
 }
 
 void EmulatedGateway::start() {
@@ -58,7 +59,7 @@
   accepted.plan = request.plan;
   accepted.customer = request.customer;
   accepted.units = request.units;
-  accepted.client_timeout = request.time_left;
+  accepted.client_timeout = request.remaining_time;
   environment_.invariants.on_request_accepted(now(), accepted);
   IncomingRequest incoming;
   incoming.id = request.id;
@@ -68,7 +69,7 @@
   incoming.units = request.units;
   incoming.first_gateway = request.first_gateway;
   incoming.gateway_spread = request.gateway_spread;
-  incoming.time_left = request.time_left;
+  incoming.time_left = request.remaining_time;
   incoming.is_retry = request.is_retry;
   policy_->on_request(now(), incoming);
 }
@@ -104,28 +105,30 @@
 }
 
 void EmulatedGateway::receive_gossip(int sender, const std::string& message) {
-  gossip_budget_.refill(now());
-  if (!policy_ || !gossip_budget_.try_take(1)) return;
+  gossip_rate_limiter_.refill(now());
+  if (!policy_ || !gossip_rate_limiter_.try_take(1)) return;
   policy_->on_gossip(now(), sender, message);
 }
 
 void EmulatedGateway::send_attempt(RequestId id, WorkerId worker_id, Duration timeout) {
   const int worker = to_worker_index(worker_id);
   const auto request = requests_.find(id);
-  const bool known = request != requests_.end();
+  const bool request_found = request != requests_.end();
   std::vector<Attempt>& attempts = attempts_[id];
-  const std::size_t number = attempts.size();
+  const std::size_t attempt_index = attempts.size();
   environment_.invariants.on_attempt_sent(now(), id, index_, worker, environment_.workers.cell_of(worker));
   environment_.statistics.on_attempt();
-  if (known && attempts.empty()) request->second.on_forwarded();
-  // A wrong policy may send what is not in flight; the invariant checker has reported it.
-  const std::size_t route = known ? request->second.route : 0;
-  const double size = known ? request->second.units / environment_.scenario.mean_units() : 1;
-  const auto on_result =
-      in_this_life([this, id, number](Outcome outcome) { end_attempt(id, number, outcome); });
+  if (request_found && attempts.empty()) request->second.on_forwarded();
+  // A faulty policy may send an attempt of a request that has ended. The invariant checker has reported that
+  // above, so any route and size will do.
+  const std::size_t route = request_found ? request->second.route : 0;
+  const double size = request_found ? request->second.units / environment_.scenario.mean_units() : 1;
+  const auto on_result = in_current_incarnation(
+      [this, id, attempt_index](Outcome outcome) { end_attempt(id, attempt_index, outcome); });
   attempts.push_back({worker_id, now(), true, environment_.workers.send(worker, route, size, on_result)});
-  environment_.events.schedule_in(
-      timeout, in_this_life([this, id, number] { end_attempt(id, number, Outcome::timed_out); }));
+  environment_.events.schedule_in(timeout, in_current_incarnation([this, id, attempt_index] {
+                                    end_attempt(id, attempt_index, Outcome::timed_out);
+                                  }));
 }
 
 bool EmulatedGateway::any_in_flight(const std::vector<Attempt>& attempts) {
@@ -133,17 +136,17 @@
                      [](const Attempt& attempt) { return attempt.in_flight; });
 }
 
-void EmulatedGateway::end_attempt(RequestId id, std::size_t number, Outcome outcome) {
+void EmulatedGateway::end_attempt(RequestId id, std::size_t attempt_index, Outcome outcome) {
   const auto found = attempts_.find(id);
-  if (found == attempts_.end() || !found->second[number].in_flight) return;
-  Attempt& attempt = found->second[number];
+  if (found == attempts_.end() || !found->second[attempt_index].in_flight) return;
+  Attempt& attempt = found->second[attempt_index];
   attempt.in_flight = false;
   if (outcome == Outcome::timed_out) attempt.job->cancelled = true;
-  environment_.invariants.on_attempt_end(id, number, may_have_executed(outcome));
+  environment_.invariants.on_attempt_end(id, attempt_index, may_have_executed(outcome));
   if (outcome == Outcome::success) respond(id, {ResponseKind::served, Duration(0)});
   AttemptResult result;
   result.request = id;
-  result.attempt = number;
+  result.attempt = attempt_index;
   result.worker = attempt.worker;
   result.outcome = outcome;
   result.elapsed = now() - attempt.sent_at;
@@ -152,16 +155,18 @@
   policy_->on_attempt_end(now(), result);
 }
 
-void EmulatedGateway::cancel_attempt(RequestId id, std::size_t number) {
+void EmulatedGateway::cancel_attempt(RequestId id, std::size_t attempt_index) {
   const auto found = attempts_.find(id);
-  if (found == attempts_.end() || number >= found->second.size()) return;
-  Attempt& attempt = found->second[number];
+  if (found == attempts_.end() || attempt_index >= found->second.size()) return;
+  Attempt& attempt = found->second[attempt_index];
   if (!attempt.in_flight) return;
   attempt.job->cancelled = true;
-  environment_.invariants.on_attempt_end(id, number, true);
-  // The policy is notified after the call in which it cancels.
-  environment_.events.schedule_in(
-      Duration(0), in_this_life([this, id, number] { end_attempt(id, number, Outcome::cancelled); }));
+  environment_.invariants.on_attempt_end(id, attempt_index, true);
+  // The policy is notified in a separate event, after the call in which it cancelled the attempt has
+  // returned.
+  environment_.events.schedule_in(Duration(0), in_current_incarnation([this, id, attempt_index] {
+                                    end_attempt(id, attempt_index, Outcome::cancelled);
+                                  }));
 }
 
 void EmulatedGateway::respond(RequestId id, const GatewayResponse& response) {
@@ -172,7 +177,8 @@
       environment_.scenario.network.one_way_latency,
       [on_response = std::move(request->second.on_response), response] { on_response(response); });
   requests_.erase(request);
-  // end_attempt() forgets the attempts of a request that was served, as it still needs them.
+  // end_attempt() calls respond() for a served request and uses the attempts afterwards, so it erases them
+  // itself.
   if (response.kind == ResponseKind::served) return;
   const auto attempts = attempts_.find(id);
   if (attempts != attempts_.end() && !any_in_flight(attempts->second)) attempts_.erase(attempts);
@@ -180,7 +186,7 @@
 
 void EmulatedGateway::set_timer(Duration when) {
   timer_ = when;
-  environment_.events.schedule_at(when, in_this_life([this, when] {
+  environment_.events.schedule_at(when, in_current_incarnation([this, when] {
                                     if (timer_ == when) policy_->on_timer(now());
                                   }));
 }
@@ -194,10 +200,11 @@
 }
 
 void EmulatedGateway::add_to_counter(std::string_view name, double amount, Duration lifetime) {
-  environment_.counter.add(index_, name, amount, lifetime,
-                           in_this_life([this, name = std::string(name)](Outcome outcome, double total) {
-                             policy_->on_counter_reply(now(), {name, outcome, total});
-                           }));
+  environment_.counter.add(
+      index_, name, amount, lifetime,
+      in_current_incarnation([this, name = std::string(name)](Outcome outcome, double total) {
+        policy_->on_counter_reply(now(), {name, outcome, total});
+      }));
 }
 
 }  // namespace ironquay::lab
--- a/src/lab/emulator/emulated_gateway.hpp
+++ b/src/lab/emulator/emulated_gateway.hpp
@@ -1,5 +1,5 @@
-// One gateway of the emulator: it notifies its policy of what happens and carries out the policy's effects on
-// the models around it.
+// One gateway of the emulator. It passes events to its policy and carries out the actions that the policy
+// requests on the models of workers, counter, gossip network and clients.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -22,37 +22,38 @@
 
 namespace ironquay::lab {
 
-// What a client receives for one request to a gateway.
+// How a gateway responds to a client's request.
 enum class ResponseKind {
   served,
-  rejected,  // with the promise that it was not executed
-  failed,
-  disconnected,  // the gateway crashed
+  rejected,      // promises that sending the request again is harmless
+  failed,        // promises nothing: the request may have been executed
+  disconnected,  // the gateway has crashed
 };
 struct GatewayResponse {
   ResponseKind kind = ResponseKind::failed;
-  Duration retry_after{0};  // of a rejection; 0: no advice
+  Duration retry_after{0};  // advised delay before a retry of a rejected request; 0: no advice
 };
 
-// One request of a client to a gateway; a retry is another one.
+// One request of a client to a gateway. Every client retry is a request of its own.
 struct ClientRequest {
-  RequestId id = 0;
-  int customer = 0;  // index
+  RequestId id = 0;  // unique over all gateways
+  int customer = 0;  // index of the customer
   std::string_view customer_name;
-  std::size_t route = 0;
-  std::size_t plan = 0;
+  std::size_t route = 0;  // index into PolicySettings::routes
+  std::size_t plan = 0;   // index into PolicySettings::plans
   double units = 0;
-  int first_gateway = 0;  // see IncomingRequest
+  // The customer uses `gateway_spread` consecutively numbered gateways, starting with `first_gateway`.
+  int first_gateway = 0;
   int gateway_spread = 1;
-  Duration time_left{0};
+  Duration remaining_time{0};  // time until the client times out
   bool is_retry = false;
-  std::function<void()> on_forwarded;                       // with the first attempt
-  std::function<void(const GatewayResponse&)> on_response;  // called when it reaches the client
+  std::function<void()> on_forwarded;                       // called when the first attempt is sent
+  std::function<void(const GatewayResponse&)> on_response;  // called when the response reaches the client
 };
 
 class EmulatedGateway : public Effects {
  public:
-  // What a gateway needs of the emulation; all of it must outlive the gateway.
+  // The models that surround a gateway. All of them must outlive the gateway.
   struct Environment {
     const Scenario& scenario;
     EventQueue& events;
@@ -62,28 +63,32 @@
     GossipNetwork& gossip;
     TrafficStatistics& statistics;
     const PolicyFactory& make_policy;
-    RandomStream& policy_seeds;
+    RandomStream& policy_seeds;  // draws the seed of each policy
   };
 
+  // `index` is the gateway's number, from 0.
   EmulatedGateway(const Environment& environment, int index);
 
-  // Starts the process, with the endpoints that it stored in its previous life, at first with all of them.
+  // Starts the gateway's process. Its policy receives the endpoint list that the previous process stored. On
+  // the first start, this is the list of all workers of the scenario.
   void start();
-  // Ends the process: its clients are disconnected and its attempts cancelled.
+  // Ends the gateway's process: disconnects its clients and cancels its attempts.
   void crash();
   bool is_running() const { return policy_ != nullptr; }
 
-  // The gateway has to run.
+  // Receives a request from a client. The gateway must be running.
   void receive_request(ClientRequest received);
-  // The client gives up a request. False if the request is not in flight any more.
+  // Handles the disconnection of the client that sent this request. Returns false if the gateway is not
+  // running or the request has already ended.
   bool disconnect_client(RequestId id);
+  // Receives an endpoint update, which is stored even if the gateway is not running.
   void receive_endpoint(int worker, WorkerStatus status, Duration started_at);
-  // Ignored beyond the rate limit.
+  // Receives a gossip message. Drops it if the gateway is not running or the message exceeds the rate limit.
   void receive_gossip(int sender, const std::string& message);
 
-  // Effects
+  // Effects:
   void send_attempt(RequestId id, WorkerId worker, Duration timeout) override;
-  void cancel_attempt(RequestId id, std::size_t number) override;
+  void cancel_attempt(RequestId id, std::size_t attempt_index) override;
   void reject(RequestId id, Duration retry_after) override {
     respond(id, {ResponseKind::rejected, retry_after});
   }
@@ -92,7 +97,7 @@
   void send_gossip(int peer, std::string_view message) override;
   void broadcast_gossip(std::string_view message) override;
   void add_to_counter(std::string_view name, double amount, Duration lifetime) override;
-  // Health checks, connections and endpoint polling are not modelled.
+  // The emulator does not model health checks, connections and endpoint polling, and does not log.
   void check_health(WorkerId) override {}
   void close_idle_connections(WorkerId) override {}
   void subscribe_endpoints(bool) override {}
@@ -114,11 +119,11 @@
   Duration now() const { return environment_.events.now(); }
   void notify_policy_of_endpoint(int worker, const StoredEndpoint& endpoint);
   void respond(RequestId id, const GatewayResponse& response);
-  void end_attempt(RequestId id, std::size_t number, Outcome outcome);
+  void end_attempt(RequestId id, std::size_t attempt_index, Outcome outcome);
   static bool any_in_flight(const std::vector<Attempt>& attempts);
-  // Wraps an action so that it does nothing once the present process has ended.
+  // Wraps an action so that it does nothing if the current process has ended when it is called.
   template <typename Action>
-  auto in_this_life(Action action) {
+  auto in_current_incarnation(Action action) {
     return [this, incarnation = incarnation_, action = std::move(action)](auto... arguments) {
       if (incarnation == incarnation_ && policy_) action(arguments...);
     };
@@ -126,16 +131,17 @@
 
   Environment environment_;
   int index_;
-  std::uint64_t incarnation_ = 0;
-  std::unique_ptr<PolicyUnderTest> policy_;  // null while the process does not run
+  std::uint64_t incarnation_ = 0;            // incremented when a process starts or ends
+  std::unique_ptr<PolicyUnderTest> policy_;  // null while the gateway is not running
   std::map<RequestId, ClientRequest> requests_;
-  std::map<RequestId, std::vector<Attempt>> attempts_;  // may outlast their request
-  std::map<int, StoredEndpoint> endpoints_;             // by worker; outlives the process
-  Duration timer_{0};
-  TokenBucket gossip_budget_;
+  // The attempts of a request are kept until the request and all of its attempts have ended.
+  std::map<RequestId, std::vector<Attempt>> attempts_;
+  std::map<int, StoredEndpoint> endpoints_;  // by worker; kept when the process ends
+  Duration timer_{0};                        // when the policy's timer expires; 0: never set
+  TokenBucket gossip_rate_limiter_;
 };
 
-// All gateways of an emulation, by index.
+// All gateways of an emulation, indexed by gateway number.
 using GatewayFleet = std::vector<std::unique_ptr<EmulatedGateway>>;
 
 }  // namespace ironquay::lab
--- a/src/lab/emulator/emulated_workers.cpp
+++ b/src/lab/emulator/emulated_workers.cpp
@@ -10,11 +10,13 @@
 
 using namespace std::chrono_literals;
 
-// How often a hung worker's finished job looks whether the worker responds again.
-constexpr Duration kHangCheckInterval = 100ms;
-// A slowdown factor must not stop time.
+// While a worker hangs, the end of each of its jobs is postponed by this interval, until the worker has
+// recovered.
+constexpr Duration kHangRetryInterval = 100ms;
+// Lower bound of a slowdown factor. With a factor of 0, jobs would take no simulated time.
 constexpr double kMinSlowdown = 1e-3;
-// The start time zero means that a worker has run for long.
+// Lower bound of the start time of a worker that starts during the run. A start time of 0 means that the
+// worker was already warmed up when the run began.
 constexpr Duration kMinStartTime = 1us;
 
 }  // namespace
@@ -32,10 +34,12 @@
   return job;
 }
 
+// Sends the result of a job to its gateway.
 void EmulatedWorkers::respond(const JobPointer& job, Outcome outcome) {
   events_.schedule_in(scenario_.network.one_way_latency, [job, outcome] { job->on_result(outcome); });
 }
 
+// A job arrives at the worker.
 void EmulatedWorkers::receive(int index, const JobPointer& job) {
   Worker& worker = at(index);
   if (worker.unreachable) {
@@ -51,6 +55,7 @@
   execute_queued(index);
 }
 
+// Executes queued jobs while the worker has free cores.
 void EmulatedWorkers::execute_queued(int index) {
   Worker& worker = at(index);
   while (worker.running && !worker.hung && worker.busy_cores < scenario_.workers.cores &&
@@ -69,26 +74,28 @@
   const Execution execution{index, worker.incarnation, ++last_sequence_, work};
   ++worker.busy_cores;
   worker.executing.emplace(execution.sequence, job);
-  const Duration elapsed = from_seconds(work * worker.slowdown / current_capacity_share(worker));
-  events_.schedule_in(elapsed, [this, execution] { finish(execution); });
+  const Duration execution_time = from_seconds(work * worker.slowdown / current_capacity_share(worker));
+  events_.schedule_in(execution_time, [this, execution] { finish(execution); });
 }
 
 double EmulatedWorkers::current_capacity_share(const Worker& worker) const {
   const ContractSettings& contract = scenario_.policy_settings.contract;
-  const bool long_running = worker.started_at <= Duration(0);
-  const double progress = long_running ? 1 : warm_up_progress(contract, events_.now() - worker.started_at);
+  const bool started_before_run = worker.started_at <= Duration(0);
+  const double progress =
+      started_before_run ? 1 : warm_up_progress(contract, events_.now() - worker.started_at);
   return capacity_share(contract, progress);
 }
 
+// The work of a job is done. Ignored if the process that executed the job has ended.
 void EmulatedWorkers::finish(const Execution& execution) {
   Worker& worker = at(execution.worker);
   if (worker.incarnation != execution.incarnation) return;
-  if (worker.hung) return events_.schedule_in(kHangCheckInterval, [this, execution] { finish(execution); });
+  if (worker.hung) return events_.schedule_in(kHangRetryInterval, [this, execution] { finish(execution); });
   const auto found = worker.executing.find(execution.sequence);
   const JobPointer job = found->second;
   worker.executing.erase(found);
   --worker.busy_cores;
-  (job->cancelled ? useless_work_ : useful_work_) += execution.work;
+  (job->cancelled ? wasted_work_ : useful_work_) += execution.work;
   if (!worker.unreachable)
     respond(job, random_.chance(worker.error_rate) ? Outcome::failure : Outcome::success);
   execute_queued(execution.worker);
--- a/src/lab/emulator/emulation.cpp
+++ b/src/lab/emulator/emulation.cpp
@@ -20,12 +20,12 @@
 
 using namespace std::chrono_literals;
 
-// Deadlines are checked this often.
-constexpr Duration kCheckInterval = 10ms;
-// The run goes on for this long after the last client's timeout.
+// Interval, in simulated time, between two checks of the requests' deadlines.
+constexpr Duration kDeadlineCheckInterval = 10ms;
+// The run continues for this long after the last client's timeout.
 constexpr Duration kGracePeriod = 1s;
 
-// The gateways and the models around them.
+// One run: owns the gateways and the models that surround them.
 class Emulation {
  public:
   Emulation(const Scenario& scenario, std::uint32_t seed, const PolicyFactory& make_policy)
@@ -57,7 +57,7 @@
     faults_.start();
     const Duration end = end_time();
     while (events_.now() < end && !invariants_.violation()) {
-      events_.run_until(std::min(end, events_.now() + kCheckInterval));
+      events_.run_until(std::min(end, events_.now() + kDeadlineCheckInterval));
       invariants_.check_deadlines(events_.now());
     }
     return emulation_figures(
@@ -65,11 +65,12 @@
   }
 
  private:
+  // All requests have ended by then: the last ones start at the scenario's length.
   Duration end_time() const {
-    Duration longest(0);
+    Duration max_timeout(0);
     for (const Route& route : scenario_.policy_settings.routes)
-      longest = std::max(longest, route.client_timeout);
-    return scenario_.length + longest + kGracePeriod;
+      max_timeout = std::max(max_timeout, route.client_timeout);
+    return scenario_.length + max_timeout + kGracePeriod;
   }
 
   const Scenario& scenario_;
--- a/src/lab/emulator/emulation.hpp
+++ b/src/lab/emulator/emulation.hpp
@@ -8,8 +8,9 @@
 
 namespace ironquay::lab {
 
-// Runs until all clients have their answers or until the first violation of an invariant, and returns the
-// run's figures, which docs/laboratory.md explains. The same scenario and seed give the same figures.
+// Emulates gateways, workers, counter, discovery and clients. The run ends when the timeout of every client
+// has passed, or soon after the first violation of an invariant. Returns the figures of the run, which
+// docs/laboratory.md explains. The same scenario and seed give the same figures.
 nlohmann::ordered_json emulate(const Scenario& scenario, std::uint32_t seed,
                                const PolicyFactory& make_policy = make_load_balancer_policy);
 
--- a/src/lab/emulator/emulation_figures.cpp
+++ b/src/lab/emulator/emulation_figures.cpp
@@ -13,7 +13,7 @@
 using Json = nlohmann::ordered_json;
 
 constexpr double kMillisecondsPerSecond = 1000;
-// Keeps shares of nothing finite.
+// Core seconds. Lower bound of a divisor, which avoids 0/0 if no work was done.
 constexpr double kMinWork = 1e-9;
 
 Json to_json(const RequestTotals& totals) {
@@ -23,9 +23,10 @@
           {"rate_limited", totals.rejected},
           {"errored", totals.failed},
           {"lost", totals.lost},
-          {"served_inside", totals.served_share()}};
+          {"served_inside", totals.served_value_share()}};
 }
 
+// A JSON object with the totals of each plan or route, by its name.
 template <typename Named>
 Json by_name(const std::vector<Named>& names, const std::vector<RequestTotals>& totals) {
   Json json = Json::object();
@@ -33,11 +34,13 @@
   return json;
 }
 
+// For each second of the run: requests, requests served in time, units forwarded, and units forwarded for
+// heavy customers.
 Json per_second(const EmulationResults& results) {
   Json json = Json::array();
   const auto seconds = static_cast<std::size_t>(results.scenario.length / 1s);
   for (std::size_t i = 0; i <= seconds; ++i) {
-    const SecondTotals& second = results.statistics.by_second()[i];
+    const PerSecondTotals& second = results.statistics.by_second()[i];
     json.push_back({second.requests, second.in_time, second.units_forwarded, second.heavy_units_forwarded});
   }
   return json;
@@ -45,8 +48,8 @@
 
 Json latency_quantiles(std::vector<double> latencies) {
   std::sort(latencies.begin(), latencies.end());
-  const auto milliseconds = [&](double rank) {
-    return sorted_quantile(latencies, rank) * kMillisecondsPerSecond;
+  const auto milliseconds = [&](double probability) {
+    return sorted_quantile(latencies, probability) * kMillisecondsPerSecond;
   };
   return {{"p50", milliseconds(.5)},
           {"p90", milliseconds(.9)},
@@ -62,31 +65,33 @@
           {"worker", violation->worker}};
 }
 
-// How customers were held to their quotas, over the whole run.
+// How closely the gateways kept customers to their quotas. A customer's quota use is the units that gateways
+// forwarded for it, divided by the units that its quota permits over the whole run.
 struct QuotaFigures {
-  double worst_customer = 0;  // the most that a customer got, as a share of its quota
-  double heavy_customer = 0;  // the median of this share over those that requested more than their quota
-  double heavy_quota = 0;     // units per second of all heavy customers
+  double max_quota_use = 0;          // highest quota use of any customer
+  double median_limited_use = 0;     // median quota use of the customers that requested more than their quota
+  double heavy_customers_quota = 0;  // sum of the quotas of all heavy customers, in units per second
 };
 
 QuotaFigures quota_figures(const EmulationResults& results) {
   QuotaFigures figures;
-  std::vector<double> shares;
+  std::vector<double> limited_uses;
   for (const Customer& customer : results.customers) {
     const QuotaPlan& quota = results.scenario.policy_settings.plans[customer.plan];
-    const double allowed = quota.burst + quota.rate * to_seconds(results.scenario.length);
-    const double share = customer.units_forwarded / allowed;
-    figures.worst_customer = std::max(figures.worst_customer, share);
-    if (customer.heavy) figures.heavy_quota += quota.rate;
-    if (customer.units_requested > allowed) shares.push_back(share);
+    const double permitted_units = quota.burst + quota.rate * to_seconds(results.scenario.length);
+    const double quota_use = customer.units_forwarded / permitted_units;
+    figures.max_quota_use = std::max(figures.max_quota_use, quota_use);
+    if (customer.is_heavy) figures.heavy_customers_quota += quota.rate;
+    if (customer.units_requested > permitted_units) limited_uses.push_back(quota_use);
   }
-  std::sort(shares.begin(), shares.end());
-  if (!shares.empty()) figures.heavy_customer = shares[shares.size() / 2];
+  std::sort(limited_uses.begin(), limited_uses.end());
+  if (!limited_uses.empty()) figures.median_limited_use = limited_uses[limited_uses.size() / 2];
   return figures;
 }
 
-double useless_work_share(const EmulatedWorkers& workers) {
-  return workers.useless_work() / std::max(kMinWork, workers.useless_work() + workers.useful_work());
+// The fraction of the workers' work that was spent on cancelled jobs.
+double wasted_work_share(const EmulatedWorkers& workers) {
+  return workers.wasted_work() / std::max(kMinWork, workers.wasted_work() + workers.useful_work());
 }
 
 }  // namespace
@@ -104,19 +109,19 @@
           {"length_s", to_seconds(scenario.length)},
           {"asked", total.requests},
           {"in_time", total.in_time},
-          {"served_inside", total.served_share()},
-          {"beyond_quota", statistics.share_beyond_quota()},
-          {"worst_customer_of_quota", quotas.worst_customer},
-          {"heavy_customer_of_quota", quotas.heavy_customer},
+          {"served_inside", total.served_value_share()},
+          {"beyond_quota", statistics.over_quota_share()},
+          {"worst_customer_of_quota", quotas.max_quota_use},
+          {"heavy_customer_of_quota", quotas.median_limited_use},
           {"counter_calls", per_request(results.counter.calls())},
-          {"messages", per_request(results.gossip.messages())},
+          {"messages", per_request(results.gossip.messages_sent())},
           {"tries", per_request(statistics.attempts())},
-          {"useless_work", useless_work_share(results.workers)},
+          {"useless_work", wasted_work_share(results.workers)},
           {"hottest_cold", results.invariants.peak_slow_start_load()},
           {"latency_ms", latency_quantiles(statistics.latencies())},
           {"plans", by_name(scenario.plans, statistics.by_plan())},
           {"routes", by_name(scenario.routes, statistics.by_route())},
-          {"heavy_quota", quotas.heavy_quota},
+          {"heavy_quota", quotas.heavy_customers_quota},
           {"per_second", per_second(results)},
           {"broken", to_json(results.invariants.violation())},
           {"seed", results.seed}};
--- a/src/lab/emulator/emulation_figures.hpp
+++ b/src/lab/emulator/emulation_figures.hpp
@@ -1,4 +1,4 @@
-// The figures of an emulation, as JSON.
+// Computes the figures of a finished emulation and formats them as JSON.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
@@ -14,7 +14,7 @@
 
 namespace ironquay::lab {
 
-// The parts of an emulation that figures are taken from, at the end of its run.
+// The state at the end of a run from which the figures are computed.
 struct EmulationResults {
   const Scenario& scenario;
   std::uint32_t seed;
@@ -26,7 +26,8 @@
   const InvariantChecker& invariants;
 };
 
-// The object that `ironquay-lab emulate` prints on a line.
+// Returns the JSON object that `ironquay-lab emulate` prints on one line. The caller of emulate() adds the
+// variant and the version.
 nlohmann::ordered_json emulation_figures(const EmulationResults& results);
 
 }  // namespace ironquay::lab
--- a/src/lab/emulator/event_queue.hpp
+++ b/src/lab/emulator/event_queue.hpp
@@ -1,4 +1,4 @@
-// Simulated time.
+// The event queue and the clock of the emulation's simulated time.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -10,23 +10,25 @@
 
 namespace ironquay::lab {
 
-// Runs scheduled actions in order of their time, and actions of the same time in the order in which they were
-// scheduled.
+// Runs scheduled actions in the order of their times. Actions with the same time run in the order in which
+// they were scheduled.
 class EventQueue {
  public:
   using Action = std::function<void()>;
 
-  // Time of the action that runs now, from the start of the run.
+  // The simulated time since the start of the run. While an action runs, this is the time that it was
+  // scheduled for.
   Duration now() const { return now_; }
-  // A time in the past means now.
+  // Schedules an action. If `when` is in the past, the action runs at the current time.
   void schedule_at(Duration when, Action action) {
     queue_.push({std::max(when, now_), ++last_sequence_, std::move(action)});
   }
   void schedule_in(Duration delay, Action action) { schedule_at(now_ + delay, std::move(action)); }
-  // Runs everything that is due until `end`, that time included, and advances the clock to it.
+  // Runs all actions that are due at or before `end`, including those that they schedule, and then advances
+  // the clock to `end`.
   void run_until(Duration end) {
     while (!queue_.empty() && queue_.top().when <= end) {
-      // The top is const; it is removed at once, so its action may be moved out of it.
+      // top() returns a const reference. Moving from it is safe because the element is popped immediately.
       Event event = std::move(const_cast<Event&>(queue_.top()));
       queue_.pop();
       now_ = event.when;
@@ -38,9 +40,9 @@
  private:
   struct Event {
     Duration when;
-    std::uint64_t sequence;
+    std::uint64_t sequence;  // order of scheduling, which breaks ties
     Action action;
-    // The priority queue yields its greatest element first, which has to be the earliest one.
+    // std::priority_queue returns its greatest element first, so the earliest event compares greatest.
     bool operator<(const Event& other) const {
       return when != other.when ? when > other.when : sequence > other.sequence;
     }
--- a/src/lab/emulator/fault_injector.cpp
+++ b/src/lab/emulator/fault_injector.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-// From the notice that a worker drains until it is stopped.
+// Time from the endpoint update that says that a worker is draining until the worker is stopped.
 constexpr Duration kDrainTime = 5s;
 
 }  // namespace
@@ -30,9 +30,9 @@
     case FaultKind::replace:
       return replace_workers(choose_workers(fault), fault.length);
     case FaultKind::discovery_silent:
-      return silence_discovery(1, fault.length);
+      return suspend_discovery(1, fault.length);
     case FaultKind::discovery_overloaded:
-      return silence_discovery(fault.share, fault.length);
+      return suspend_discovery(fault.share, fault.length);
     case FaultKind::counter_refuse:
     case FaultKind::counter_silent:
     case FaultKind::counter_slow:
@@ -41,26 +41,27 @@
     case FaultKind::restart:
       return restart_gateways(fault);
     case FaultKind::burst:
-      return;  // ClientPopulation looks bursts up
+      return;  // ClientPopulation reads bursts from the scenario
   }
 }
 
+// The workers that the fault names, or else a random fraction of all workers.
 std::vector<int> FaultInjector::choose_workers(const Fault& fault) {
   if (!fault.workers.empty()) return fault.workers;
-  return choose(static_cast<std::size_t>(scenario_.workers.count), fault.share);
+  return choose_indices(static_cast<std::size_t>(scenario_.workers.count), fault.share);
 }
 
-// Chooses a share of the indices below `count` at random, in ascending order.
-std::vector<int> FaultInjector::choose(std::size_t count, double share) {
+// Chooses this fraction of the indices from 0 to `count` - 1 at random and returns them in ascending order.
+std::vector<int> FaultInjector::choose_indices(std::size_t count, double fraction) {
   std::vector<int> indices(count);
   std::iota(indices.begin(), indices.end(), 0);
   for (std::size_t i = 0; i + 1 < count; ++i) std::swap(indices[i], indices[i + random_.below(count - i)]);
-  indices.resize(static_cast<std::size_t>(std::lround(share * static_cast<double>(count))));
+  indices.resize(static_cast<std::size_t>(std::lround(fraction * static_cast<double>(count))));
   std::sort(indices.begin(), indices.end());
   return indices;
 }
 
-// Spreads the replacements evenly over the length.
+// Replaces the workers one after another, at equal intervals over `length`.
 void FaultInjector::replace_workers(const std::vector<int>& workers, Duration length) {
   const auto count = static_cast<Duration::rep>(workers.size());
   for (Duration::rep i = 0; i < count; ++i) {
@@ -69,26 +70,27 @@
   }
 }
 
-void FaultInjector::replace_worker(int old) {
+// Starts a new worker, drains the old one and stops it after the drain time.
+void FaultInjector::replace_worker(int old_worker) {
   const auto publish = [this](int worker, WorkerStatus status) {
     targets_.discovery.publish(worker, status, targets_.workers.started_at(worker));
   };
   publish(targets_.workers.add_worker(), WorkerStatus::ready);
-  targets_.workers.drain(old);
-  publish(old, WorkerStatus::draining);
-  events_.schedule_in(kDrainTime, [this, publish, old] {
-    targets_.workers.remove(old);
-    publish(old, WorkerStatus::gone);
+  targets_.workers.drain(old_worker);
+  publish(old_worker, WorkerStatus::draining);
+  events_.schedule_in(kDrainTime, [this, publish, old_worker] {
+    targets_.workers.remove(old_worker);
+    publish(old_worker, WorkerStatus::gone);
   });
 }
 
-void FaultInjector::silence_discovery(double share, Duration length) {
-  for (const int gateway : choose(targets_.gateways.size(), share))
-    targets_.discovery.silence(gateway, length);
+void FaultInjector::suspend_discovery(double gateway_fraction, Duration length) {
+  for (const int gateway : choose_indices(targets_.gateways.size(), gateway_fraction))
+    targets_.discovery.suspend_updates(gateway, length);
 }
 
 void FaultInjector::restart_gateways(const Fault& fault) {
-  for (const int index : choose(targets_.gateways.size(), fault.share)) {
+  for (const int index : choose_indices(targets_.gateways.size(), fault.share)) {
     EmulatedGateway& gateway = *targets_.gateways[static_cast<std::size_t>(index)];
     gateway.crash();
     events_.schedule_in(fault.length, [&gateway] { gateway.start(); });
--- a/src/lab/emulator/fault_injector.hpp
+++ b/src/lab/emulator/fault_injector.hpp
@@ -1,4 +1,4 @@
-// Carries out the faults of a scenario.
+// Injects the faults of a scenario into the emulated gateways, workers, counter and discovery.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -15,7 +15,7 @@
 
 class FaultInjector {
  public:
-  // What faults act on; all of it must outlive the injector.
+  // The models that faults are injected into. All of them must outlive the injector.
   struct Targets {
     GatewayFleet& gateways;
     EmulatedWorkers& workers;
@@ -23,6 +23,7 @@
     EmulatedDiscovery& discovery;
   };
 
+  // `events` and `scenario` must outlive the injector.
   FaultInjector(EventQueue& events, const Scenario& scenario, std::uint32_t seed, const Targets& targets)
       : events_(events), scenario_(scenario), random_(seed, "faults"), targets_(targets) {}
 
@@ -32,10 +33,10 @@
  private:
   void inject(const Fault& fault);
   std::vector<int> choose_workers(const Fault& fault);
-  std::vector<int> choose(std::size_t count, double share);
+  std::vector<int> choose_indices(std::size_t count, double fraction);
   void replace_workers(const std::vector<int>& workers, Duration length);
-  void replace_worker(int old);
-  void silence_discovery(double share, Duration length);
+  void replace_worker(int old_worker);
+  void suspend_discovery(double gateway_fraction, Duration length);
   void restart_gateways(const Fault& fault);
 
   EventQueue& events_;
--- a/src/lab/emulator/invariant_checker.cpp
+++ b/src/lab/emulator/invariant_checker.cpp
@@ -9,37 +9,40 @@
 
 using namespace std::chrono_literals;
 
-// An answer that is on its way when the client times out still counts.
-constexpr Duration kAnswerSlack = 8ms;
-// Rounding errors may add up to this much beyond a ceiling.
-constexpr double kUnitSlack = 1e-6;
-// Arrivals at a worker vary like a Poisson process: this many standard deviations beyond the mean are
-// allowed.
+// A response that is on its way when the client times out still counts as in time, so a gateway may respond
+// this long after the deadline.
+constexpr Duration kDeadlineTolerance = 8ms;
+// Units by which a customer may exceed its ceiling, because rounding errors accumulate.
+constexpr double kUnitTolerance = 1e-6;
+// Arrivals at a worker vary like a Poisson process. The allowed number of arrivals is the expected number,
+// plus this many standard deviations, plus a constant number of arrivals for workers that expect few.
 constexpr double kArrivalDeviations = 3;
 constexpr double kExtraArrivals = 3;
 
-// The rules as they are printed.
-constexpr char kSecondAnswer[] = "one final answer: a second one";
-constexpr char kLateAnswer[] = "one final answer: too late";
-constexpr char kNoAnswer[] = "one final answer: none came";
-constexpr char kSentAfterAnswer[] = "one final answer: sent after it";
+// Texts of the violated rules. They are part of the program's output.
+constexpr char kSecondResponse[] = "one final answer: a second one";
+constexpr char kLateResponse[] = "one final answer: too late";
+constexpr char kNoResponse[] = "one final answer: none came";
+constexpr char kSentAfterResponse[] = "one final answer: sent after it";
 constexpr char kRejectedAfterExecution[] = "no effect twice: rate-limited though it may have run";
-constexpr char kTwoAttempts[] = "no effect twice: two tries out";
+constexpr char kConcurrentAttempts[] = "no effect twice: two tries out";
 constexpr char kExecutedAgain[] = "no effect twice: sent again though it may have run";
-constexpr char kRepeatNotDiscarded[] = "no effect twice: sent where its repeat is not known";
+constexpr char kSentOutsideDedupScope[] = "no effect twice: sent where its repeat is not known";
 constexpr char kSentToDraining[] = "drains kept: sent to a worker that drains or is gone";
 constexpr char kStartingWorkerOverloaded[] = "cold workers not pushed over: one fell";
 constexpr char kCeilingExceeded[] = "ceilings kept: passed";
 
 }  // namespace
 
+// Records the first violation.
 void InvariantChecker::report(Duration now, const char* rule, RequestId id, int worker) {
   if (!violation_) violation_ = InvariantViolation{now, rule, id, worker};
 }
 
-InvariantChecker::OpenRequest* InvariantChecker::find_owed(RequestId id) {
+// The request if it is still to receive its response, otherwise null.
+InvariantChecker::OpenRequest* InvariantChecker::find_pending(RequestId id) {
   const auto found = requests_.find(id);
-  return found != requests_.end() && found->second.answer_owed ? &found->second : nullptr;
+  return found != requests_.end() && found->second.response_pending ? &found->second : nullptr;
 }
 
 void InvariantChecker::on_request_accepted(Duration now, const AcceptedRequest& request) {
@@ -49,15 +52,16 @@
 }
 
 void InvariantChecker::on_response(Duration now, RequestId id, bool rejected) {
-  OpenRequest* request = find_owed(id);
-  if (!request) return report(now, kSecondAnswer, id);
-  if (now > request->deadline + kAnswerSlack) report(now, kLateAnswer, id);
-  request->answer_owed = false;
+  OpenRequest* request = find_pending(id);
+  if (!request) return report(now, kSecondResponse, id);
+  if (now > request->deadline + kDeadlineTolerance) report(now, kLateResponse, id);
+  request->response_pending = false;
   const Route& route = route_of(*request);
-  const bool must_not_run_later =
+  // A client's retry may reach a worker in another cell or zone, which does not discard it as a repeat.
+  const bool retry_may_duplicate =
       route.idempotency == Idempotency::non_idempotent ||
       (route.idempotency == Idempotency::keyed && route.dedup_scope != DedupScope::all);
-  if (!rejected || !must_not_run_later) return;
+  if (!rejected || !retry_may_duplicate) return;
   for (const Attempt& attempt : request->attempts)
     if (attempt.may_have_executed) report(now, kRejectedAfterExecution, id);
 }
@@ -65,8 +69,8 @@
 void InvariantChecker::on_request_dropped(RequestId id) { requests_.erase(id); }
 
 void InvariantChecker::on_attempt_sent(Duration now, RequestId id, int gateway, int worker, int cell) {
-  OpenRequest* request = find_owed(id);
-  if (!request) return report(now, kSentAfterAnswer, id, worker);
+  OpenRequest* request = find_pending(id);
+  if (!request) return report(now, kSentAfterResponse, id, worker);
   check_draining(now, id, {gateway, worker});
   check_duplicates(now, id, *request, worker, cell);
   if (request->attempts.empty()) check_ceiling(now, id, *request, worker);
@@ -74,8 +78,8 @@
 }
 
 void InvariantChecker::check_draining(Duration now, RequestId id, Endpoint endpoint) {
-  const auto since = unavailable_since_.find(endpoint);
-  if (since != unavailable_since_.end() && now > since->second + scenario_.workers.drain_grace)
+  const auto unavailable = unavailable_since_.find(endpoint);
+  if (unavailable != unavailable_since_.end() && now > unavailable->second + scenario_.workers.drain_grace)
     report(now, kSentToDraining, id, endpoint.worker);
 }
 
@@ -83,26 +87,26 @@
                                         int cell) {
   const Attempt* first_executed = nullptr;
   for (const Attempt& attempt : request.attempts) {
-    if (attempt.in_flight) report(now, kTwoAttempts, id, worker);
+    if (attempt.in_flight) report(now, kConcurrentAttempts, id, worker);
     if (attempt.may_have_executed && !first_executed) first_executed = &attempt;
   }
   if (!first_executed) return;
   const Route& route = route_of(request);
   if (route.idempotency == Idempotency::non_idempotent) report(now, kExecutedAgain, id, worker);
-  const bool repeat_is_known =
+  const bool repeat_is_discarded =
       first_executed->cell == cell && now <= first_executed->sent_at + route.dedup_window;
-  if (route.idempotency == Idempotency::keyed && !repeat_is_known)
-    report(now, kRepeatNotDiscarded, id, worker);
+  if (route.idempotency == Idempotency::keyed && !repeat_is_discarded)
+    report(now, kSentOutsideDedupScope, id, worker);
 }
 
 void InvariantChecker::check_ceiling(Duration now, RequestId id, const OpenRequest& request, int worker) {
   const QuotaPlan& plan = scenario_.policy_settings.plans[request.plan];
   if (plan.ceiling_rate <= 0) return;
-  const TokenBucket full(plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_burst, now);
-  TokenBucket& ceiling = ceilings_.try_emplace(request.customer, full).first->second;
+  const TokenBucket full_bucket(plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_burst, now);
+  TokenBucket& ceiling = ceilings_.try_emplace(request.customer, full_bucket).first->second;
   ceiling.refill(now);
   ceiling.take(request.units);
-  if (ceiling.tokens() < -kUnitSlack) report(now, kCeilingExceeded, id, worker);
+  if (ceiling.tokens() < -kUnitTolerance) report(now, kCeilingExceeded, id, worker);
 }
 
 void InvariantChecker::on_attempt_end(RequestId id, std::size_t attempt, bool may_have_executed) {
@@ -124,46 +128,49 @@
   std::erase_if(unavailable_since_, [&](const auto& entry) { return entry.first.gateway == gateway; });
 }
 
-void InvariantChecker::on_worker_start(Duration now, int worker) { starting_[worker] = {now, {}}; }
+void InvariantChecker::on_worker_start(Duration now, int worker) { starting_workers_[worker] = {now, {}}; }
 
 void InvariantChecker::on_worker_arrival(Duration now, int worker) {
-  const auto found = starting_.find(worker);
-  if (found == starting_.end()) return;
-  StartingWorker& starting = found->second;
+  const auto found = starting_workers_.find(worker);
+  if (found == starting_workers_.end()) return;
+  StartingWorker& starting_worker = found->second;
   const ContractSettings& contract = scenario_.policy_settings.contract;
-  const double progress = warm_up_progress(contract, now - starting.started_at);
-  if (progress >= 1) return void(starting_.erase(found));
-  starting.arrivals.push_back(now);
-  while (starting.arrivals.front() + contract.overload_window < now) starting.arrivals.pop_front();
-  const auto arrivals = static_cast<double>(starting.arrivals.size());
+  const double progress = warm_up_progress(contract, now - starting_worker.started_at);
+  if (progress >= 1) return void(starting_workers_.erase(found));
+  starting_worker.recent_arrivals.push_back(now);
+  while (starting_worker.recent_arrivals.front() + contract.overload_window < now)
+    starting_worker.recent_arrivals.pop_front();
+  const auto arrivals = static_cast<double>(starting_worker.recent_arrivals.size());
   const double allowed = allowed_arrivals(progress);
   peak_slow_start_load_ = std::max(peak_slow_start_load_, arrivals / allowed);
   if (arrivals > allowed) report(now, kStartingWorkerOverloaded, 0, worker);
 }
 
-// How many attempts may arrive at a starting worker within an overload window.
+// The number of attempts that may arrive at a warming-up worker within one overload window, at this progress
+// of its warm-up.
 double InvariantChecker::allowed_arrivals(double progress) const {
   const ContractSettings& contract = scenario_.policy_settings.contract;
   double weighted_work = 0;
-  double weights = 0;
+  double total_weight = 0;
   for (const RouteTraffic& route : scenario_.routes) {
     weighted_work += route.weight * to_seconds(route.mean_work);
-    weights += route.weight;
+    total_weight += route.weight;
   }
-  const double mean_work = weighted_work / weights;
+  const double mean_work = weighted_work / total_weight;
   const double share = capacity_share(contract, progress);
   const double expected = scenario_.workers.overload_multiple * share * scenario_.workers.cores / mean_work *
                           to_seconds(contract.overload_window);
   return expected + kArrivalDeviations * std::sqrt(expected) + kExtraArrivals;
 }
 
-// A request is forgotten after its deadline: only whether it was answered matters until then.
+// Removes the requests whose deadlines have passed. They need no record, because any later response or
+// attempt is a violation.
 void InvariantChecker::check_deadlines(Duration now) {
-  while (!deadlines_.empty() && now > deadlines_.begin()->first + kAnswerSlack) {
+  while (!deadlines_.empty() && now > deadlines_.begin()->first + kDeadlineTolerance) {
     const auto found = requests_.find(deadlines_.begin()->second);
     deadlines_.erase(deadlines_.begin());
     if (found == requests_.end()) continue;
-    if (found->second.answer_owed) report(now, kNoAnswer, found->first);
+    if (found->second.response_pending) report(now, kNoResponse, found->first);
     requests_.erase(found);
   }
 }
--- a/src/lab/emulator/invariant_checker.hpp
+++ b/src/lab/emulator/invariant_checker.hpp
@@ -1,9 +1,11 @@
-// Checks the five guarantees that gateways give, using only what can be observed from outside them.
+// Checks the five guarantees that gateways give, using only what can be observed from outside of the
+// gateways.
 //
-// - One final answer: every request is answered exactly once, before its client times out.
-// - No duplicate effect: a request that may have been executed is not executed again unless that is harmless.
-// - Draining honoured: nothing is sent to a worker that is known to drain or to be gone.
-// - Slow start honoured: a worker that has just started is not overloaded.
+// - One final answer: every request receives exactly one response, before its client times out.
+// - No duplicate effect: a request that may have been executed is not executed again, unless its route is
+//   idempotent or the worker discards the repeat.
+// - Draining honoured: a gateway sends nothing to a worker that it knows to be draining or gone.
+// - Slow start honoured: a worker that has started recently is not overloaded.
 // - Ceilings kept: no customer exceeds the ceiling of its plan.
 #pragma once
 #include <cstdint>
@@ -22,20 +24,20 @@
 
 struct InvariantViolation {
   Duration when{0};
-  std::string rule;       // as it is printed
-  RequestId request = 0;  // 0: none in particular
-  int worker = -1;        // -1: none in particular
+  std::string rule;       // the violated rule and how it was violated; part of the program's output
+  RequestId request = 0;  // 0: the violation concerns no particular request
+  int worker = -1;        // index of the worker; -1: the violation concerns no particular worker
 };
 
-// The properties of a request that the invariants depend on. The identifier is unique over all gateways;
-// every retry of a client is a new request.
+// The properties of a request that the invariants depend on. The identifier is unique over all gateways.
+// Every client retry is a request of its own.
 struct AcceptedRequest {
   RequestId id = 0;
-  std::size_t route = 0;
-  std::size_t plan = 0;
-  int customer = 0;  // index
+  std::size_t route = 0;  // index into PolicySettings::routes
+  std::size_t plan = 0;   // index into PolicySettings::plans
+  int customer = 0;       // index of the customer
   double units = 0;
-  Duration client_timeout{0};  // remaining
+  Duration client_timeout{0};  // time from now until the client times out
 };
 
 class InvariantChecker {
@@ -43,26 +45,32 @@
   // `scenario` must outlive the checker.
   explicit InvariantChecker(const Scenario& scenario) : scenario_(scenario) {}
 
+  // A gateway has received a request.
   void on_request_accepted(Duration now, const AcceptedRequest& request);
-  // `rejected` answers promise that the request was not executed.
+  // A gateway has responded to a request. A response that is `rejected` promises that sending the request
+  // again is harmless.
   void on_response(Duration now, RequestId id, bool rejected);
-  // The gateway crashed or the client disconnected, so that no answer is owed any more.
+  // The gateway has crashed or the client has disconnected, so that the request no longer needs a response.
   void on_request_dropped(RequestId id);
+  // A gateway has sent an attempt to a worker of this cell.
   void on_attempt_sent(Duration now, RequestId id, int gateway, int worker, int cell);
+  // An attempt has ended. `attempt` is its index among the attempts of the request.
   void on_attempt_end(RequestId id, std::size_t attempt, bool may_have_executed);
-  // The endpoint list of a gateway has a new status for a worker.
+  // A gateway has been notified of a worker's status.
   void on_endpoint_notified(Duration now, int gateway, int worker, WorkerStatus status);
   // The gateway has lost what it knew about endpoints.
   void on_gateway_restart(int gateway);
+  // A worker has started and is warming up.
   void on_worker_start(Duration now, int worker);
-  // An attempt has arrived at a worker that runs.
+  // An attempt has arrived at a running worker.
   void on_worker_arrival(Duration now, int worker);
-  // Finds the requests whose clients have timed out by now without an answer.
+  // Reports the requests whose clients have timed out before `now` without a response.
   void check_deadlines(Duration now);
 
-  // The first violation, if there was one.
+  // The first violation, if any. Later violations are not recorded.
   const std::optional<InvariantViolation>& violation() const { return violation_; }
-  // The highest load of a starting worker over one overload window, as a share of the allowed one.
+  // The highest number of arrivals at a warming-up worker within one overload window, divided by the allowed
+  // number.
   double peak_slow_start_load() const { return peak_slow_start_load_; }
 
  private:
@@ -79,12 +87,13 @@
     double units = 0;
     Duration deadline{0};
     std::vector<Attempt> attempts;
-    bool answer_owed = true;
+    bool response_pending = true;
   };
   struct StartingWorker {
     Duration started_at{0};
-    std::deque<Duration> arrivals;  // within the last overload window
+    std::deque<Duration> recent_arrivals;  // times of the arrivals within the last overload window
   };
+  // A worker as one gateway sees it.
   struct Endpoint {
     int gateway = 0;
     int worker = 0;
@@ -93,7 +102,7 @@
     }
   };
 
-  OpenRequest* find_owed(RequestId id);
+  OpenRequest* find_pending(RequestId id);
   void check_draining(Duration now, RequestId id, Endpoint endpoint);
   void check_duplicates(Duration now, RequestId id, const OpenRequest& request, int worker, int cell);
   void check_ceiling(Duration now, RequestId id, const OpenRequest& request, int worker);
@@ -106,9 +115,9 @@
   const Scenario& scenario_;
   std::map<RequestId, OpenRequest> requests_;
   std::multimap<Duration, RequestId> deadlines_;
-  std::map<Endpoint, Duration> unavailable_since_;  // notified as draining or gone
-  std::map<int, StartingWorker> starting_;
-  std::map<int, TokenBucket> ceilings_;  // by customer
+  std::map<Endpoint, Duration> unavailable_since_;  // when the gateway was notified: draining or gone
+  std::map<int, StartingWorker> starting_workers_;  // workers that are warming up, by index
+  std::map<int, TokenBucket> ceilings_;             // by customer
   std::optional<InvariantViolation> violation_;
   double peak_slow_start_load_ = 0;
 };
--- a/src/lab/emulator/policy_under_test.hpp
+++ b/src/lab/emulator/policy_under_test.hpp
@@ -1,4 +1,5 @@
-// The decisions of an emulated gateway.
+// The interface through which an emulated gateway drives its policy: the real load balancer, or a test
+// double.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -11,8 +12,8 @@
 
 namespace ironquay::lab {
 
-// What an emulated gateway notifies of events: the real LoadBalancer, or a double of it in tests. The
-// functions are those of LoadBalancer.
+// Receives the events of one emulated gateway. Each function has the meaning of the LoadBalancer function of
+// the same name.
 class PolicyUnderTest {
  public:
   virtual ~PolicyUnderTest() = default;
@@ -27,11 +28,11 @@
   virtual void on_counter_reply(Duration now, const CounterReply& reply) = 0;
 };
 
-// Makes the policy of one gateway, which requests its actions from `effects`.
+// Creates the policy of one gateway. The policy requests its actions from `effects`, which must outlive it.
 using PolicyFactory = std::function<std::unique_ptr<PolicyUnderTest>(
     PolicySettings settings, std::uint32_t seed, Duration now, Effects& effects)>;
 
-// The factory of the real policy.
+// A PolicyFactory that creates the real LoadBalancer.
 std::unique_ptr<PolicyUnderTest> make_load_balancer_policy(PolicySettings settings, std::uint32_t seed,
                                                            Duration now, Effects& effects);
 
--- a/src/lab/emulator/slow_start.hpp
+++ b/src/lab/emulator/slow_start.hpp
@@ -1,4 +1,4 @@
-// The capacity of a worker that has started recently.
+// The capacity of a worker that is warming up after its start (slow start).
 #pragma once
 #include <algorithm>
 
@@ -7,13 +7,15 @@
 
 namespace ironquay::lab {
 
-// How far a worker of that age is on its way to full capacity; 1 and more: it is there.
+// The fraction of the slow start window that has passed for a worker that started `age` ago. The worker has
+// its full capacity when the result is 1 or more.
 inline double warm_up_progress(const ContractSettings& contract, Duration age) {
-  constexpr double kMinWindow = 1e-3;  // seconds
-  return to_seconds(age) / std::max(kMinWindow, to_seconds(contract.slow_start_window));
+  constexpr double kMinWindowSeconds = 1e-3;  // avoids a division by zero without a slow start window
+  return to_seconds(age) / std::max(kMinWindowSeconds, to_seconds(contract.slow_start_window));
 }
 
-// The share of its full capacity that a worker has at this progress, between 0 and 1.
+// The fraction of its full capacity, between 0 and 1, that a worker has at this progress. It grows linearly
+// from the contract's initial share.
 inline double capacity_share(const ContractSettings& contract, double progress) {
   return contract.initial_capacity_share + (1 - contract.initial_capacity_share) * std::min(1.0, progress);
 }
--- a/src/lab/emulator/token_bucket.hpp
+++ b/src/lab/emulator/token_bucket.hpp
@@ -1,4 +1,4 @@
-// The token bucket by which the emulator measures quotas and limits rates.
+// A token bucket, with which the emulator measures customers' use of their quotas and limits rates.
 #pragma once
 #include <algorithm>
 
@@ -8,23 +8,27 @@
 
 class TokenBucket {
  public:
+  // An empty bucket that is never refilled.
   TokenBucket() = default;
-  // `rate` is in tokens per second, `capacity` the most that it holds.
+  // `rate` is in tokens per second; `capacity` is the largest number of tokens that the bucket holds;
+  // `tokens` is the number that it holds at `now`.
   TokenBucket(double rate, double capacity, double tokens, Duration now)
       : rate_(rate), capacity_(capacity), tokens_(tokens), refilled_at_(now) {}
 
+  // Adds the tokens that have accrued since the last refill, up to the capacity.
   void refill(Duration now) {
     tokens_ = std::min(capacity_, tokens_ + rate_ * to_seconds(now - refilled_at_));
     refilled_at_ = now;
   }
-  // Takes the tokens if there are enough of them, otherwise none.
+  // Takes all of the tokens if the bucket holds that many, otherwise none. Does not refill the bucket.
   bool try_take(double tokens) {
     if (tokens_ < tokens) return false;
     tokens_ -= tokens;
     return true;
   }
-  // Takes the tokens even if that leaves a debt.
+  // Takes the tokens even if the balance becomes negative. Does not refill the bucket.
   void take(double tokens) { tokens_ -= tokens; }
+  // The balance at the last refill or take; negative if more was taken than the bucket held.
   double tokens() const { return tokens_; }
 
  private:
--- a/src/lab/emulator/traffic_statistics.cpp
+++ b/src/lab/emulator/traffic_statistics.cpp
@@ -7,7 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// Requests that begin at the end of the run go on for as long as their clients wait.
+// Seconds after the length of the run for which requests are counted. Requests that start at the end of the
+// run may still end within their clients' timeouts.
 constexpr std::size_t kExtraSeconds = 120;
 
 }  // namespace
@@ -40,7 +41,7 @@
   failed += other.failed;
   lost += other.lost;
   value_within_quota += other.value_within_quota;
-  value_served += other.value_served;
+  value_served_in_time += other.value_served_in_time;
   return *this;
 }
 
@@ -49,12 +50,12 @@
       by_route_(scenario.routes.size()),
       by_second_(static_cast<std::size_t>(scenario.length / 1s) + kExtraSeconds) {}
 
-SecondTotals& TrafficStatistics::second(Duration now) {
+PerSecondTotals& TrafficStatistics::totals_at(Duration now) {
   return by_second_[static_cast<std::size_t>(now / 1s)];
 }
 
 void TrafficStatistics::on_request(Duration now, const RequestSample& request) {
-  ++second(now).requests;
+  ++totals_at(now).requests;
   for (RequestTotals* totals : {&by_plan_[request.plan], &by_route_[request.route]}) {
     ++totals->requests;
     if (request.within_quota) totals->value_within_quota += request.value;
@@ -64,19 +65,19 @@
 void TrafficStatistics::on_request_end(Duration now, const RequestSample& request, RequestOutcome outcome,
                                        Duration elapsed) {
   const bool in_time = outcome == RequestOutcome::in_time;
-  if (in_time) ++second(now).in_time;
+  if (in_time) ++totals_at(now).in_time;
   if (in_time || outcome == RequestOutcome::late) latencies_.push_back(to_seconds(elapsed));
   for (RequestTotals* totals : {&by_plan_[request.plan], &by_route_[request.route]}) {
     totals->count(outcome);
-    if (in_time && request.within_quota) totals->value_served += request.value;
+    if (in_time && request.within_quota) totals->value_served_in_time += request.value;
   }
 }
 
-void TrafficStatistics::on_forwarded(Duration now, double units, bool heavy_customer, bool within_quota) {
+void TrafficStatistics::on_forwarded(Duration now, double units, bool is_heavy_customer, bool within_quota) {
   units_forwarded_ += units;
-  if (!within_quota) units_beyond_ += units;
-  second(now).units_forwarded += units;
-  if (heavy_customer) second(now).heavy_units_forwarded += units;
+  if (!within_quota) units_over_quota_ += units;
+  totals_at(now).units_forwarded += units;
+  if (is_heavy_customer) totals_at(now).heavy_units_forwarded += units;
 }
 
 RequestTotals TrafficStatistics::total() const {
