--- a/src/adapter/field_reader.cpp
+++ b/src/adapter/field_reader.cpp
@@ -37,7 +37,7 @@
 
 bool FieldReader::flag(const char* field) {
   const std::string_view value = text(field);
-  if (value != "0" && value != "1") fail(field, "is neither 0 nor 1");
+  if (value != "0" && value != "1") fail(field, "must be 0 or 1");
   return value == "1";
 }
 
@@ -45,32 +45,33 @@
   std::string_view digits = text(field);
   std::string bytes;
   if (digits == "-") return bytes;
-  if (digits.size() % 2 != 0) fail(field, "is no row of hex digits");
+  if (digits.size() % 2 != 0) fail(field, "must consist of pairs of hexadecimal digits");
   for (; !digits.empty(); digits.remove_prefix(2)) {
     unsigned byte = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + 2, byte, 16);
-    if (error != std::errc() || end != digits.data() + 2) fail(field, "is no row of hex digits");
+    if (error != std::errc() || end != digits.data() + 2)
+      fail(field, "must consist of pairs of hexadecimal digits");
     bytes.push_back(static_cast<char>(byte));
   }
   return bytes;
 }
 
-void FieldReader::check_load_report(const char* field, std::size_t value_count) {
+void FieldReader::check_load_report(const char* field, std::size_t expected_count) {
   const std::string_view report = text(field);
   if (report == "-" || report.empty()) return;
-  std::size_t seen = 0;
+  std::size_t count = 0;
   for (std::size_t start = 0; start <= report.size();) {
     const std::size_t comma = std::min(report.find(',', start), report.size());
     const std::string_view value = report.substr(start, comma - start);
     if (value != "-") parse_number<double>(value, field);
-    ++seen;
+    ++count;
     start = comma + 1;
   }
-  if (seen != value_count) fail(field, "has another number of values than the settings name");
+  if (count != expected_count) fail(field, "does not have the number of values that the settings define");
 }
 
 void FieldReader::expect_end() const {
-  if (!at_end_) throw ProtocolError(std::string(message_name_) + ": more fields than expected");
+  if (!at_end_) throw ProtocolError(std::string(message_name_) + ": too many fields");
 }
 
 void FieldReader::fail(const char* field, const char* problem) const {
--- a/src/adapter/field_reader.hpp
+++ b/src/adapter/field_reader.hpp
@@ -1,9 +1,7 @@
-// Reads the fields of one line of the simulator's protocol, in order.
+// Parses one line of the simulator's protocol.
 //
-// A line is a message name followed by its fields, separated by single tabs. A field that is absent is
-// written as
-// "-". Every reading function throws ProtocolError, naming the message and the field, when the field is
-// missing or malformed.
+// A line consists of a message name and its fields, separated by single tabs. A field without a value is
+// written as "-".
 #pragma once
 #include <charconv>
 #include <cmath>
@@ -16,32 +14,41 @@
 
 namespace ironquay::adapter {
 
+// Reads the fields of a line from left to right. Each reading function takes the next field; its `field`
+// parameter is the name of that field in error messages. Throws ProtocolError if the field is missing or
+// malformed.
 class FieldReader {
  public:
-  // Views the line, which has to outlive the reader and every view taken from it.
+  // Reads the message name. Does not copy `line`, which must outlive the reader and every view that it
+  // returns.
   explicit FieldReader(std::string_view line);
 
   std::string_view message_name() const { return message_name_; }
 
   std::string_view text(const char* field);
-  // All that is left of the line, tabs included.
+  // Returns the unread part of the line, including its tabs.
   std::string_view remainder(const char* field);
   template <typename T>
   T number(const char* field);
+  // Returns `fallback` if the field has no value.
   template <typename T>
   T number_or(const char* field, T fallback);
-  // A duration or a point in time, written in milliseconds with fractions.
+  // Reads a duration or a point in time, written in milliseconds with an optional fraction.
   Duration duration(const char* field);
+  // Returns zero if the field has no value.
   Duration duration_or_zero(const char* field);
+  // Reads a boolean, written as 0 or 1.
   bool flag(const char* field);
-  // Bytes written as pairs of hex digits.
+  // Decodes bytes that are written as pairs of hexadecimal digits. Returns no bytes if the field has no
+  // value.
   std::string hex_bytes(const char* field);
-  // The value to which `names` maps the field.
-  template <typename Names>
-  typename Names::mapped_type named(const char* field, const Names& names);
-  // Checks a load report: none, or that many numbers separated by commas, any of which may be absent.
-  void check_load_report(const char* field, std::size_t value_count);
-  // Throws ProtocolError when fields are left.
+  // Returns the value that `values_by_name` holds for the field. Throws ProtocolError if it holds none.
+  template <typename Map>
+  typename Map::mapped_type mapped_value(const char* field, const Map& values_by_name);
+  // Checks that a load report is empty or consists of `expected_count` comma-separated values. Each value is
+  // a number, or "-" if the worker does not report it.
+  void check_load_report(const char* field, std::size_t expected_count);
+  // Throws ProtocolError if the line has unread fields.
   void expect_end() const;
 
  private:
@@ -65,10 +72,10 @@
   return value == "-" ? fallback : parse_number<T>(value, field);
 }
 
-template <typename Names>
-typename Names::mapped_type FieldReader::named(const char* field, const Names& names) {
-  const auto found = names.find(text(field));
-  if (found == names.end()) fail(field, "is no name that the settings hold");
+template <typename Map>
+typename Map::mapped_type FieldReader::mapped_value(const char* field, const Map& values_by_name) {
+  const auto found = values_by_name.find(text(field));
+  if (found == values_by_name.end()) fail(field, "has an unknown value");
   return found->second;
 }
 
@@ -77,9 +84,9 @@
   T value{};
   const char* const last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, value);
-  if (error != std::errc() || end != last) fail(field, "is no such number");
+  if (error != std::errc() || end != last) fail(field, "is not a valid number");
   if constexpr (std::is_floating_point_v<T>) {
-    if (!std::isfinite(value)) fail(field, "is no such number");
+    if (!std::isfinite(value)) fail(field, "is not a valid number");
   }
   return value;
 }
--- a/src/adapter/gateway_instance.cpp
+++ b/src/adapter/gateway_instance.cpp
@@ -10,8 +10,8 @@
 namespace ironquay::adapter {
 namespace {
 
-// The bit of a request's options that marks it as a client's retry.
-constexpr int kRetryOption = 2;
+// The bit of the `opts` field that marks a request as a client retry.
+constexpr int kRetryOptionBit = 2;
 
 Outcome read_outcome(FieldReader& fields) {
   static const std::map<std::string_view, Outcome> outcomes = {{"pass", Outcome::success},
@@ -22,7 +22,7 @@
                                                                {"cut", Outcome::connection_lost},
                                                                {"undone", Outcome::cancelled},
                                                                {"stale_send", Outcome::not_sent}};
-  return fields.named("outcome", outcomes);
+  return fields.mapped_value("outcome", outcomes);
 }
 
 EndpointListKind read_list_kind(FieldReader& fields) {
@@ -30,16 +30,16 @@
                                                                      {"F", EndpointListKind::full},
                                                                      {"C", EndpointListKind::cached},
                                                                      {"X", EndpointListKind::failed}};
-  return fields.named("mode", kinds);
+  return fields.mapped_value("mode", kinds);
 }
 
 WorkerStatus read_status(FieldReader& fields) {
   static const std::map<std::string_view, WorkerStatus> statuses = {
       {"Ready", WorkerStatus::ready}, {"Terminating", WorkerStatus::draining}, {"Gone", WorkerStatus::gone}};
-  return fields.named("phase", statuses);
+  return fields.mapped_value("phase", statuses);
 }
 
-// The seed of the load balancer's random numbers; both halves of the simulator's seed count.
+// Combines both halves of the simulator's 64-bit seed into the 32-bit seed of the load balancer.
 std::uint32_t fold_seed(std::uint64_t seed) { return static_cast<std::uint32_t>(seed ^ (seed >> 32)); }
 
 }  // namespace
@@ -76,7 +76,7 @@
   };
   const auto handler = handlers.find(fields.message_name());
   if (handler == handlers.end())
-    throw ProtocolError(std::string(fields.message_name()) + ": no such message");
+    throw ProtocolError(std::string(fields.message_name()) + ": unknown message");
   (this->*handler->second)(fields, now);
 }
 
@@ -84,13 +84,13 @@
   IncomingRequest request;
   request.id = fields.number<RequestId>("ticket");
   request.gateway_spread = fields.number<int>("spread");
-  request.is_retry = (fields.number_or<int>("opts", 0) & kRetryOption) != 0;
+  request.is_retry = (fields.number_or<int>("opts", 0) & kRetryOptionBit) != 0;
   request.units = fields.number<double>("weight");
   request.first_gateway = fields.number<int>("set_start");
   request.customer = fields.text("customer");
   request.time_left = fields.duration("remaining");
-  request.route = fields.named("qos", settings_.route_index);
-  request.plan = fields.named("tariff", settings_.plan_index);
+  request.route = fields.mapped_value("qos", settings_.route_index);
+  request.plan = fields.mapped_value("tariff", settings_.plan_index);
   fields.expect_end();
   balancer_.on_request(now, request);
 }
@@ -160,14 +160,14 @@
 void GatewayInstance::receive_endpoint_list(FieldReader& fields, Duration now) {
   const EndpointListKind kind = read_list_kind(fields);
   fields.number_or<double>("epoch", 0);
-  endpoints_left_ = fields.number_or<std::size_t>("hosts", 0);
+  pending_endpoints_ = fields.number_or<std::size_t>("hosts", 0);
   fields.expect_end();
   balancer_.on_endpoint_list_begin(now, kind);
-  if (endpoints_left_ == 0) balancer_.on_endpoint_list_end(now);
+  if (pending_endpoints_ == 0) balancer_.on_endpoint_list_end(now);
 }
 
 void GatewayInstance::receive_endpoint(FieldReader& fields, Duration now) {
-  if (endpoints_left_ == 0) throw ProtocolError("WORKER: more of them than hosts says");
+  if (pending_endpoints_ == 0) throw ProtocolError("WORKER: more messages than announced in hosts");
   EndpointUpdate update;
   update.started_at = fields.duration_or_zero("last_start");
   fields.text("flavor");
@@ -178,7 +178,7 @@
   update.capacity_share = fields.number_or<double>("share", 1);
   fields.expect_end();
   balancer_.on_endpoint(now, update);
-  if (--endpoints_left_ == 0) balancer_.on_endpoint_list_end(now);
+  if (--pending_endpoints_ == 0) balancer_.on_endpoint_list_end(now);
 }
 
 }  // namespace ironquay::adapter
--- a/src/adapter/gateway_instance.hpp
+++ b/src/adapter/gateway_instance.hpp
@@ -1,4 +1,5 @@
-// One of the gateways that the simulator runs in this process: its settings and its load balancer.
+// One gateway in the simulator. The simulator runs several gateways in one process, each with its own
+// settings and its own load balancer.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,19 +14,19 @@
 
 class GatewayInstance {
  public:
-  // `reply` has to outlive the instance.
+  // Starts the load balancer at time `now`. `reply` must outlive the instance.
   GatewayInstance(std::string name, DecodedSettings settings, std::uint64_t seed, Duration now,
                   ReplyBuilder& reply);
   GatewayInstance(const GatewayInstance&) = delete;
   GatewayInstance& operator=(const GatewayInstance&) = delete;
   ~GatewayInstance() = default;
 
-  // Delivers one event to the load balancer, whose actions are added to the reply. Throws ProtocolError when
-  // the event is malformed or unknown, PolicyFailure when the load balancer throws.
+  // Passes one event to the load balancer, which adds its actions to the reply. Throws ProtocolError if the
+  // event is malformed or unknown, and PolicyFailure if the load balancer throws.
   void deliver(FieldReader& fields, Duration now);
 
-  // Whether the entries of an endpoint list are still to come.
-  bool awaits_endpoints() const { return endpoints_left_ > 0; }
+  // Whether an endpoint list was announced whose entries have not all been received.
+  bool awaits_endpoints() const { return pending_endpoints_ > 0; }
 
  private:
   void dispatch(FieldReader& fields, Duration now);
@@ -43,7 +44,7 @@
   DecodedSettings settings_;
   ReplyWriter effects_;
   LoadBalancer balancer_;
-  std::size_t endpoints_left_ = 0;  // entries of the current endpoint list that are still to come
+  std::size_t pending_endpoints_ = 0;  // entries of the announced endpoint list that were not received yet
 };
 
 }  // namespace ironquay::adapter
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,8 +1,8 @@
-// Runs gateways for the operators' simulator: batches of events on standard input, replies on standard
-// output.
+// Runs gateways for the operators' simulator: reads batches of events from standard input and writes a reply
+// to each batch to standard output.
 //
-// Ends with 0 at end of input. Ends with 1, after one line on standard error that names the input line, when
-// the input cannot be read or a load balancer fails.
+// Exits with 0 at end of input. Exits with 1 if the input is malformed or a load balancer throws an
+// exception; it then writes one line to standard error that contains the input line number and the error.
 #include <iostream>
 #include <string>
 
@@ -34,7 +34,7 @@
     return 1;
   } catch (const PolicyFailure& failure) {
     session.reply_with_panic(failure);
-    report_error(line_number, std::string("decision failed: ") + failure.what());
+    report_error(line_number, std::string("load balancer failed: ") + failure.what());
     return 1;
   }
   return 0;
--- a/src/adapter/reply_builder.cpp
+++ b/src/adapter/reply_builder.cpp
@@ -5,14 +5,15 @@
 namespace ironquay::adapter {
 namespace {
 
-// The longest finite double without an exponent has 309 digits before the point, or some 1,080 places behind
-// it; the shortest text that reads back as the same value has fewer than this.
-constexpr std::size_t kLongestNumber = 400;
+// Characters in the longest number. Without an exponent, a finite double has up to 309 digits before the
+// decimal point or about 1,080 digits after it, but the shortest text that reads back as the same value is
+// below this limit.
+constexpr std::size_t kMaxNumberLength = 400;
 
 }  // namespace
 
 ReplyBuilder& ReplyBuilder::begin_action(std::string_view instance, std::string_view action) {
-  if (instance_ != instance) name_instance(instance);
+  if (current_instance_ != instance) write_instance_name(instance);
   lines_.append(action);
   return *this;
 }
@@ -24,7 +25,7 @@
 }
 
 ReplyBuilder& ReplyBuilder::add(double number) {
-  char text[kLongestNumber];
+  char text[kMaxNumberLength];
   const auto [end, error] = std::to_chars(text, text + sizeof text, number, std::chars_format::fixed);
   return add(std::string_view(text, end));
 }
@@ -48,7 +49,7 @@
 void ReplyBuilder::end_action() { lines_.push_back('\n'); }
 
 void ReplyBuilder::add_panic(std::string_view instance, std::string_view text) {
-  name_instance(instance);
+  write_instance_name(instance);
   begin_action(instance, "PANIC").add(text).end_action();
 }
 
@@ -57,11 +58,11 @@
   out.write(lines_.data(), static_cast<std::streamsize>(lines_.size()));
   out.flush();
   lines_.clear();
-  instance_.clear();
+  current_instance_.clear();
 }
 
-void ReplyBuilder::name_instance(std::string_view instance) {
-  instance_ = instance;
+void ReplyBuilder::write_instance_name(std::string_view instance) {
+  current_instance_ = instance;
   lines_.append("AS\t").append(instance).push_back('\n');
 }
 
--- a/src/adapter/reply_writer.cpp
+++ b/src/adapter/reply_writer.cpp
@@ -5,8 +5,9 @@
 namespace ironquay::adapter {
 namespace {
 
-// The load balancer has one timer, so that its name says nothing.
+// The load balancer has only one timer, so it always has the same name.
 constexpr std::string_view kTimerName = "wake";
+// The peer name that addresses a message to every peer.
 constexpr std::string_view kAllPeers = "all";
 
 }  // namespace
--- a/src/adapter/reply_writer.hpp
+++ b/src/adapter/reply_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the actions that the load balancer of one instance requests into the reply.
+// Implements the load balancer's Effects for one simulated gateway: adds each action to the reply.
 #pragma once
 #include <string>
 #include <string_view>
@@ -10,7 +10,7 @@
 
 class ReplyWriter : public Effects {
  public:
-  // `reply` has to outlive the writer.
+  // `reply` must outlive the writer.
   ReplyWriter(std::string instance, ReplyBuilder& reply);
 
   void send_attempt(RequestId request, WorkerId worker, Duration timeout) override;
--- a/src/adapter/simulator_session.cpp
+++ b/src/adapter/simulator_session.cpp
@@ -24,15 +24,15 @@
   FieldReader fields(line);
   const std::string_view message = fields.message_name();
   if (instance_ && instance_->awaits_endpoints() && message != "WORKER")
-    throw ProtocolError("DISCOVERY: fewer WORKER lines than hosts says");
+    throw ProtocolError("DISCOVERY: fewer WORKER messages than announced in hosts");
   if (message == "MARK") return begin_batch(fields);
-  if (!in_batch_) throw ProtocolError(std::string(message) + ": comes outside a batch");
+  if (!in_batch_) throw ProtocolError(std::string(message) + ": received outside a batch");
   if (message == "END") return end_batch(fields);
   if (message == "CONTEXT") return select_instance(fields);
-  if (instance_name_.empty()) throw ProtocolError(std::string(message) + ": no CONTEXT names its instance");
+  if (instance_name_.empty()) throw ProtocolError(std::string(message) + ": no instance selected by CONTEXT");
   if (message == "START") return start_instance(fields);
   if (!instance_)
-    throw ProtocolError(std::string(message) + ": instance " + instance_name_ + " was not started");
+    throw ProtocolError(std::string(message) + ": instance " + instance_name_ + " is not running");
   if (message == "DETACH") return stop_instance(fields);
   instance_->deliver(fields, now_);
 }
@@ -47,7 +47,7 @@
 }
 
 void SimulatorSession::begin_batch(FieldReader& fields) {
-  if (in_batch_) throw ProtocolError("MARK: the batch before has no END");
+  if (in_batch_) throw ProtocolError("MARK: the previous batch has no END");
   now_ = fields.duration("moment");
   batch_ = fields.text("seq");
   fields.expect_end();
--- a/src/adapter/simulator_session.hpp
+++ b/src/adapter/simulator_session.hpp
@@ -1,7 +1,8 @@
-// The conversation with the simulator: batches of events come in as lines, one reply to each batch goes out.
+// The simulator's protocol: the simulator sends batches of events as lines, and the session writes one reply
+// to each batch.
 //
-// A batch carries the clock and events for any number of gateway instances, which share nothing. The names of
-// the simulator's protocol end in this directory.
+// A batch contains the current time and events for any number of gateway instances, which share no state.
+// Names of the simulator's protocol are used in src/adapter only.
 #pragma once
 #include <map>
 #include <ostream>
@@ -16,17 +17,18 @@
 
 class SimulatorSession {
  public:
-  // `out` receives the replies and has to outlive the session.
+  // Writes replies to `out`, which must outlive the session.
   explicit SimulatorSession(std::ostream& out) : out_(out) {}
 
-  // Handles one line that is not empty. Throws ProtocolError when it cannot be read, PolicyFailure when the
-  // load balancer throws; the session cannot go on after either.
+  // Handles one line, which must not be empty. Throws ProtocolError if the line is malformed or not expected,
+  // and PolicyFailure if the load balancer throws. The session must receive no further lines after an
+  // exception.
   void receive(std::string_view line);
 
-  // Ends the current batch with a reply that reports the failure.
+  // Ends the reply to the current batch with the failure of the current instance, and writes it.
   void reply_with_panic(const PolicyFailure& failure);
 
-  // Throws ProtocolError when the last batch is incomplete.
+  // Handles the end of the input. Throws ProtocolError if the last batch is incomplete.
   void expect_end() const;
 
  private:
@@ -39,10 +41,10 @@
   std::ostream& out_;
   ReplyBuilder reply_;
   std::map<std::string, GatewayInstance, std::less<>> instances_;
-  std::string instance_name_;            // the one that the current events are for, empty: none named yet
-  GatewayInstance* instance_ = nullptr;  // of that name, null: not running
-  std::string batch_ = "0";
-  Duration now_{0};
+  std::string instance_name_;            // receives the current events; empty if the batch has selected none
+  GatewayInstance* instance_ = nullptr;  // has the name instance_name_; null if it is not running
+  std::string batch_ = "0";              // identifier of the current batch, repeated in its reply
+  Duration now_{0};                      // time of the current batch
   bool in_batch_ = false;
 };
 
--- a/src/config/settings_decoder.cpp
+++ b/src/config/settings_decoder.cpp
@@ -8,42 +8,48 @@
 
 using Json = nlohmann::json;
 
+SettingsError missing_key(const char* key) {
+  return SettingsError(std::string("settings: ") + key + " is missing");
+}
+
+// Returns the value of a required key. Throws SettingsError if it is missing or has another type.
 template <typename T>
 T required(const Json& object, const char* key) {
   const auto found = object.find(key);
-  if (found == object.end()) throw SettingsError(std::string("settings lack ") + key);
+  if (found == object.end()) throw missing_key(key);
   try {
     return found->get<T>();
   } catch (const Json::exception&) {
-    throw SettingsError(std::string("settings hold an unreadable ") + key);
+    throw SettingsError(std::string("settings: ") + key + " has the wrong type");
   }
 }
 
-// An object or an array.
+// Returns the object or array under a required key.
 const Json& required_section(const Json& object, const char* key) {
   const auto found = object.find(key);
-  if (found == object.end() || !found->is_structured())
-    throw SettingsError(std::string("settings lack ") + key);
+  if (found == object.end()) throw missing_key(key);
+  if (!found->is_structured())
+    throw SettingsError(std::string("settings: ") + key + " must be an object or an array");
   return *found;
 }
 
-// A duration, written in milliseconds with fractions.
+// Returns the duration under a required key, which is in milliseconds with an optional fraction.
 Duration required_duration(const Json& object, const char* key) {
   return Duration(std::llround(required<double>(object, key) * 1000.0));
 }
 
-Idempotency decode_idempotency(const std::string& word) {
-  if (word == "read_like") return Idempotency::idempotent;
-  if (word == "idempotency_key") return Idempotency::keyed;
-  if (word == "non_idempotent") return Idempotency::non_idempotent;
-  throw SettingsError("settings hold an unknown effect " + word);
+Idempotency decode_idempotency(const std::string& name) {
+  if (name == "read_like") return Idempotency::idempotent;
+  if (name == "idempotency_key") return Idempotency::keyed;
+  if (name == "non_idempotent") return Idempotency::non_idempotent;
+  throw SettingsError("settings: unknown effect '" + name + "'");
 }
 
-DedupScope decode_dedup_scope(const std::string& word) {
-  if (word == "all") return DedupScope::all;
-  if (word == "zone") return DedupScope::zone;
-  if (word == "cell") return DedupScope::cell;
-  throw SettingsError("settings hold an unknown key_scope " + word);
+DedupScope decode_dedup_scope(const std::string& name) {
+  if (name == "all") return DedupScope::all;
+  if (name == "zone") return DedupScope::zone;
+  if (name == "cell") return DedupScope::cell;
+  throw SettingsError("settings: unknown key_scope '" + name + "'");
 }
 
 Route decode_route(const Json& object) {
@@ -97,7 +103,7 @@
   return contract;
 }
 
-Capabilities decode_capabilities(const Json& settings, const Json& bounds, const Json& family) {
+Capabilities decode_capabilities(const Json& settings, const Json& bounds, const Json& family_info) {
   Capabilities capabilities;
   capabilities.cancel = required<bool>(bounds, "cancelling");
   capabilities.hedging = required<bool>(bounds, "may_duplicate");
@@ -105,26 +111,26 @@
   capabilities.max_attempts = required<int>(bounds, "try_limit");
   capabilities.max_retry_after = required_duration(bounds, "max_retry_after");
   capabilities.polls_endpoints = required<std::string>(settings, "registry_mode") == "on_request";
-  capabilities.counter = required<bool>(family, "counter");
-  if (capabilities.counter) capabilities.counter_timeout = required_duration(family, "count_limit");
+  capabilities.counter = required<bool>(family_info, "counter");
+  if (capabilities.counter) capabilities.counter_timeout = required_duration(family_info, "count_limit");
   if (required<bool>(bounds, "may_tell"))
-    capabilities.gossip_rate_limit = required<double>(family, "peer_intake");
+    capabilities.gossip_rate_limit = required<double>(family_info, "peer_intake");
   return capabilities;
 }
 
-ConnectionSettings decode_connection(const Json& bounds, const Json& family) {
+ConnectionSettings decode_connection(const Json& bounds, const Json& family_info) {
   ConnectionSettings connection;
   connection.idle_timeout = required_duration(bounds, "idle_close");
   connection.connect_timeout = required_duration(bounds, "connect_timeout");
   connection.max_open_requests = required<std::size_t>(bounds, "open_cap");
-  connection.max_units = required<double>(family, "max_units");
+  connection.max_units = required<double>(family_info, "max_units");
   return connection;
 }
 
 }  // namespace
 
 DecodedSettings decode_settings(const Json& settings) {
-  if (!settings.is_object()) throw SettingsError("settings are no JSON object");
+  if (!settings.is_object()) throw SettingsError("settings: must be a JSON object");
   DecodedSettings decoded;
   decode_routes(settings, decoded);
   decode_plans(settings, decoded);
@@ -132,11 +138,11 @@
   PolicySettings& policy = decoded.policy_settings;
   policy.contract = decode_contract(required_section(settings, "contract"));
   const Json& bounds = required_section(settings, "bounds");
-  const Json& family = required_section(settings, "family_info");
-  policy.capabilities = decode_capabilities(settings, bounds, family);
-  decoded.connection = decode_connection(bounds, family);
+  const Json& family_info = required_section(settings, "family_info");
+  policy.capabilities = decode_capabilities(settings, bounds, family_info);
+  decoded.connection = decode_connection(bounds, family_info);
   policy.max_units = decoded.connection.max_units;
-  policy.settles_units = required<bool>(family, "settles");
+  policy.settles_units = required<bool>(family_info, "settles");
   policy.cross_zone_cost = required<double>(required_section(settings, "tariffs"), "cross_zone");
   policy.gateway_index = required<int>(settings, "me");
   policy.gateway_count = required<int>(settings, "siblings");
--- a/src/config/settings_decoder.hpp
+++ b/src/config/settings_decoder.hpp
@@ -1,5 +1,5 @@
-// Decodes the operators' settings object, which is the same in the simulator's protocol and in the
-// configuration of a gateway.
+// Decodes the operators' settings, a JSON object. The simulator sends it in its START message, and the
+// configuration file of a gateway contains it under the key `settings`.
 #pragma once
 #include <map>
 #include <nlohmann/json_fwd.hpp>
@@ -10,28 +10,30 @@
 
 namespace ironquay {
 
-// The settings object cannot be used. The message names the key that is missing or unreadable.
+// The settings object is invalid. what() names the key that is missing or has an invalid value.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// What connections to clients and workers depend on; the load balancer reads none of it.
+// Settings for the connections to clients and workers. The load balancer does not read them.
 struct ConnectionSettings {
-  Duration idle_timeout{0};           // after which a worker closes an idle connection
-  Duration connect_timeout{0};        // for a connection to a worker to come up
-  std::size_t max_open_requests = 0;  // which a gateway may hold at a time, 0: not limited
-  double max_units = 0;               // of one request
+  Duration idle_timeout{0};           // time after which a worker closes an idle connection
+  Duration connect_timeout{0};        // time limit for establishing a connection to a worker
+  std::size_t max_open_requests = 0;  // maximum number of unanswered requests in a gateway, 0: unlimited
+  double max_units = 0;               // maximum quota units of one request
 };
 
 struct DecodedSettings {
   PolicySettings policy_settings;
   ConnectionSettings connection;
-  std::map<std::string, std::size_t, std::less<>> route_index;  // by name, into PolicySettings::routes
-  std::map<std::string, std::size_t, std::less<>> plan_index;   // by name, into PolicySettings::plans
-  std::size_t report_fields = 0;                                // values that a load report holds
+  std::map<std::string, std::size_t, std::less<>>
+      route_index;  // route name to index in PolicySettings::routes
+  std::map<std::string, std::size_t, std::less<>> plan_index;  // plan name to index in PolicySettings::plans
+  std::size_t report_fields = 0;                               // number of values in a load report
 };
 
-// Ignores unknown keys. Throws SettingsError.
+// Decodes the settings object and ignores unknown keys. Throws SettingsError if a required key is missing or
+// its value is invalid.
 DecodedSettings decode_settings(const nlohmann::json& settings);
 
 }  // namespace ironquay
--- a/test/config/settings_decoder_test.cpp
+++ b/test/config/settings_decoder_test.cpp
@@ -1,4 +1,4 @@
-// The settings decoder: what it reads, and which key its errors name.
+// Tests the settings decoder: the decoded values, and the keys that its error messages name.
 #include "config/settings_decoder.hpp"
 
 #include <catch2/catch.hpp>
@@ -56,7 +56,7 @@
   CHECK(policy.zone == "zone-a");
 }
 
-TEST_CASE("what the platform does not offer needs no settings of its own") {
+TEST_CASE("settings of a capability are optional when the platform does not provide it") {
   Json settings = valid_settings();
   settings["family_info"]["counter"] = false;
   settings["family_info"].erase("count_limit");
@@ -67,37 +67,39 @@
   CHECK(capabilities.gossip_rate_limit == 0);
 }
 
-TEST_CASE("a missing key is named") {
+TEST_CASE("the error for a missing key names the key") {
   const Json complete = valid_settings();
   for (const auto& [key, value] : complete.items()) {
     if (key == "unknown") continue;
     Json settings = complete;
     settings.erase(key);
     INFO(key);
-    CHECK_THROWS_MATCHES(decode_settings(settings), SettingsError, Message("settings lack " + key));
+    CHECK_THROWS_MATCHES(decode_settings(settings), SettingsError,
+                         Message("settings: " + key + " is missing"));
   }
   Json settings = complete;
   settings["classes"][1].erase("key_ttl");
-  CHECK_THROWS_MATCHES(decode_settings(settings), SettingsError, Message("settings lack key_ttl"));
+  CHECK_THROWS_MATCHES(decode_settings(settings), SettingsError, Message("settings: key_ttl is missing"));
 }
 
-TEST_CASE("an unreadable value is named") {
+TEST_CASE("the error for a value of the wrong type names its key") {
   Json settings = valid_settings();
   settings["plans"][0]["refill"] = "fast";
   CHECK_THROWS_MATCHES(decode_settings(settings), SettingsError,
-                       Message("settings hold an unreadable refill"));
-  CHECK_THROWS_MATCHES(decode_settings(Json::array()), SettingsError, Message("settings are no JSON object"));
+                       Message("settings: refill has the wrong type"));
+  CHECK_THROWS_MATCHES(decode_settings(Json::array()), SettingsError,
+                       Message("settings: must be a JSON object"));
 }
 
-TEST_CASE("an unknown word is rejected") {
+TEST_CASE("an unknown effect or key_scope is rejected") {
   Json settings = valid_settings();
   settings["classes"][0]["effect"] = "sometimes";
   CHECK_THROWS_MATCHES(decode_settings(settings), SettingsError,
-                       Message("settings hold an unknown effect sometimes"));
+                       Message("settings: unknown effect 'sometimes'"));
   settings = valid_settings();
   settings["classes"][1]["key_scope"] = "rack";
   CHECK_THROWS_MATCHES(decode_settings(settings), SettingsError,
-                       Message("settings hold an unknown key_scope rack"));
+                       Message("settings: unknown key_scope 'rack'"));
 }
 
 }  // namespace ironquay
--- a/test/net/startup_test.cpp
+++ b/test/net/startup_test.cpp
@@ -21,7 +21,7 @@
     REQUIRE(log.find('\n') == log.size() - 1);
   };
   fails_with("settings", missing, "settings are missing");
-  fails_with("settings", {{"classes", 3}}, "settings lack classes");
+  fails_with("settings", {{"classes", 3}}, "settings: classes must be an object or an array");
   fails_with("counter", "nowhere", "counter is not an address: 'nowhere'");
   fails_with("listen", "192.0.2.1:1", "listening at 192.0.2.1:1");
   fails_with("seed", "xyz", "seed is not a hexadecimal number");
