--- a/src/net/counter_connection.cpp
+++ b/src/net/counter_connection.cpp
@@ -68,7 +68,7 @@
       stream_(loop, std::move(fd), *this, false),
       last_response_at_(loop.now()),
       call_timer_(loop, [this] { on_call_timeout(); }),
-      heartbeat_timer_(loop, [this] { send_heartbeat(); }),
+      heartbeat_timer_(loop, [this] { on_heartbeat_timer(); }),
       response_gap_timer_(loop, [this] { close(CounterCloseReason::malformed_response); }) {
   heartbeat_timer_.expire_after(kHeartbeatInterval);
   call_timer_.expire_after(call_timeout_);
@@ -130,7 +130,9 @@
   stream_.write({command});
 }
 
-void CounterConnection::send_heartbeat() {
+// Sends a heartbeat if no call is pending, and closes the connection if the pending calls had no response for
+// too long.
+void CounterConnection::on_heartbeat_timer() {
   if (stream_.connected() && calls_.empty()) write({std::string(), {}, 0, true}, "*1\r\n$4\r\nPING\r\n");
   const Duration inactive_for = loop_.now() - last_response_at_;
   if (!calls_.empty() && inactive_for > kInactivityCallTimeouts * call_timeout_)
--- a/src/net/counter_connection.hpp
+++ b/src/net/counter_connection.hpp
@@ -74,7 +74,7 @@
 
   void on_events(std::uint32_t events) override;
   void write(Call call, std::string_view command);
-  void send_heartbeat();
+  void on_heartbeat_timer();
   void on_call_timeout();
   std::size_t on_bytes(std::string_view bytes);
   bool on_reply(const resp::Reply& reply);
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -53,7 +53,8 @@
   return capabilities(config).polls_endpoints ? DiscoveryKind::shared_service : DiscoveryKind::local_agent;
 }
 
-// The load balancer and discovery use different halves of the seed.
+// The load balancer is seeded with the two halves of the seed combined by XOR, discovery with the lower half,
+// so that their random numbers differ.
 std::uint32_t balancer_seed(const GatewayConfig& config) {
   return static_cast<std::uint32_t>(config.seed ^ (config.seed >> 32));
 }
--- a/test/net/counter_client_test.cpp
+++ b/test/net/counter_client_test.cpp
@@ -1,10 +1,11 @@
-// Calls to the counter: replies, inactivity and reconnects.
+// Calls to the counter service: replies, inactivity and reconnects.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("a request over the local quota asks the counter; a late reply belongs to its own request") {
+TEST_CASE(
+    "a request over the local quota calls the counter, and a late reply is not used for the next call") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   TestConnection counter = deployment.counter.accept();
@@ -12,7 +13,7 @@
   const std::string counter_call = counter.receive_command();
   REQUIRE_THAT(counter_call, StartsWith("CNT.ADD 00000000b4d65521:"));
   REQUIRE_THAT(counter_call, EndsWith(" 58000"));
-  // Without a reply within 80 ms the local quota alone decides.
+  // If the counter does not reply within 80 ms, the local quota alone decides.
   TestConnection worker = deployment.next_attempt().connection;
   worker.answer_command(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v")));
@@ -25,7 +26,7 @@
 }
 
 TEST_CASE(
-    "units behind an unreadable counter total count as added, and the next call uses a new connection") {
+    "a request with an unreadable counter reply is forwarded, and the next call uses a new connection") {
   for (const std::string& reply :
        {bulk_string("x"), bulk_string("1x"), bulk_string("nan"), bulk_string(""), std::string("+1\r\n"),
         std::string("$7\r\n1"), std::string("-noise\r\n")}) {
@@ -34,6 +35,7 @@
     TestConnection client = deployment.ready_client(), counter = deployment.counter.accept();
     client.send(small_plan_lookup("1"));
     counter.answer_command(reply);
+    // The counter may have added the units, so the call does not count as failed.
     TestConnection worker = deployment.next_attempt().connection;
     worker.answer_command(worker_reply("v"));
     REQUIRE(client.receives(bulk_string("v")));
@@ -53,7 +55,8 @@
   for (int i = 0; i < 3; ++i) counter.receive_command();
   TestConnection reconnected = deployment.counter.accept();
   REQUIRE(deployment.gateway.logs("reason=inactivity-timeout"));
-  // Three calls that time out together are one fault, so the counter is called again 250 ms later.
+  // Three calls that time out together count as one failure, so the gateway calls the counter again after
+  // only 250 ms.
   std::this_thread::sleep_for(200ms);
   client.send(small_plan_lookup("4"));
   REQUIRE_THAT(reconnected.receive_command(), StartsWith("CNT.ADD "));
--- a/test/net/endpoint_discovery_test.cpp
+++ b/test/net/endpoint_discovery_test.cpp
@@ -1,11 +1,14 @@
 // The endpoint list, and the watch that keeps it up to date.
-// docs/incidents/rare-faults.md describes the faults that the last three cases guard against.
+// The last three cases guard against faults of discovery (docs/incidents/rare-faults.md): a shared service
+// that does not answer one of the requests, a response that is reset in the middle of an object, and a
+// service that never responds while a gateway restarts.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("a draining worker gets no new requests, however the watch is cut, and the watch is resumed") {
+TEST_CASE(
+    "a draining worker gets no new requests even if its event arrives in pieces, and the watch is resumed") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   auto [watch, request] = deployment.take_watch();
@@ -21,7 +24,8 @@
   REQUIRE_FALSE(deployment.worker(0).has_connection_within(20ms));
 }
 
-TEST_CASE("no client is accepted before discovery has answered, whatever the configured endpoint list says") {
+TEST_CASE(
+    "no client is accepted before discovery has answered, even if a cached endpoint list is configured") {
   Deployment deployment(1);
   deployment.start();
   const TestConnection unanswered = deployment.discovery.accept();
@@ -39,7 +43,8 @@
   REQUIRE(deployment.no_attempt_for(50ms));
 }
 
-TEST_CASE("a watch that sends only parts of a line is requested again and stays open meanwhile") {
+TEST_CASE(
+    "when a watch receives only parts of a line another one is opened, and the first stays open meanwhile") {
   Deployment deployment(2);
   TestConnection client = deployment.ready_client();
   auto [watch, request] = deployment.take_watch();
@@ -48,7 +53,8 @@
   int spaces = 0;
   while (!deployment.discovery.has_connection_within(100ms) && ++spaces < 60) watch.send(" ");
   REQUIRE(Clock::now() - start > 2s);
-  REQUIRE(Clock::now() - start < 4s);  // of the 6 s within which changes must be known, for another request
+  // Changes must be known within 6 s, and the rest of that time is for another request.
+  REQUIRE(Clock::now() - start < 4s);
   const TestConnection unanswered = deployment.discovery.accept();
   auto [new_watch, new_request] = deployment.take_watch();
   REQUIRE_THAT(new_request, Contains("from=41 "));
@@ -59,7 +65,8 @@
   REQUIRE_FALSE(deployment.worker(0).has_connection_within(20ms));
 }
 
-TEST_CASE("an endpoint list that is invalid, too deep or incomplete ends its watch and changes nothing") {
+TEST_CASE(
+    "an endpoint list that is invalid, nested too deeply or incomplete ends its watch and changes nothing") {
   for (const std::string& invalid :
        {std::string("[]"), std::string(R"({"seq":42,"whole":true,"hosts":{}})"), std::string("{\"hosts\" 1}"),
         std::string("x"), "{\"a\":" + std::string(40, '[')}) {
@@ -72,9 +79,9 @@
     REQUIRE(deployment.gateway.logs("reason=malformed-response"));
     auto [second_watch, second_request] = deployment.take_watch();
     REQUIRE_THAT(second_request, Contains("from=41 "));
-    second_watch.send("ffffffffffffffffffff\r\n");  // the size of a chunk, too large for any integer
+    second_watch.send("ffffffffffffffffffff\r\n");  // a chunk size that exceeds every integer type
     REQUIRE(second_watch.reaches_end());
-    // Entries and fields of wrong types are ignored one by one.
+    // An entry or field of a wrong type is ignored, and the remaining ones are used.
     TestConnection third_watch = deployment.take_watch().connection;
     third_watch.send(
         http_chunk(R"({"seq":1e300,"hosts":[7,{"host":"s-9","dial":"127.0.0.1:0","health":"in_service"},)"
@@ -88,14 +95,15 @@
   }
 }
 
-TEST_CASE("an endpoint list on request is requested again in parallel when the first response is late") {
+TEST_CASE(
+    "in on_request mode a parallel request for the endpoint list is sent when the first response is late") {
   Deployment deployment(2);
   deployment.config["settings"]["registry_mode"] = "on_request";
   deployment.start();
   TestConnection unanswered = deployment.discovery.accept();
   const auto start = Clock::now();
   TestConnection parallel = deployment.discovery.accept();
-  REQUIRE(seconds_since(start) < 3);  // of the 6 s within which changes must be known
+  REQUIRE(seconds_since(start) < 3);  // changes must be known within 6 s
   parallel.receive_http_head();
   parallel.send(std::string(kHttpOkChunked) + watch_event(deployment.endpoint_list(42, "terminating")));
   REQUIRE(unanswered.reaches_end());
@@ -110,7 +118,7 @@
   const std::string incomplete = next.substr(0, next.size() - 1);
   const auto is_ready = [&] { return deployment.gateway.has_logged("ready name"); };
   TestConnection watch;
-  while (!is_ready()) {  // the gateway may have given up a watch before it is answered
+  while (!is_ready()) {  // a watch may time out at the gateway before the test answers it
     watch = deployment.discovery.accept();
     watch.receive_http_head();
     watch.send(kHttpOk + complete + incomplete);
@@ -126,7 +134,7 @@
   REQUIRE(deployment.gateway.logs("reason=discovery-reset"));
 }
 
-TEST_CASE("a restarted gateway is ready within ten seconds though discovery does not respond") {
+TEST_CASE("a restarted gateway is ready within ten seconds even if discovery does not respond") {
   repeat_until_in_time(
       [] {
         Deployment deployment(1);
@@ -135,7 +143,8 @@
         const auto start = Clock::now();
         while (!deployment.gateway.has_logged("ready name") && seconds_since(start) < 12)
           std::this_thread::sleep_for(20ms);
-        // Discovery is given nearly all of that time, as the gateway must follow the changes it may know of.
+        // The gateway waits for discovery for nearly all of that time, because it must apply any changes that
+        // discovery reports.
         REQUIRE(seconds_since(start) > 8);
         return seconds_since(start) < 10;
       },
--- a/test/net/endpoint_list_test.cpp
+++ b/test/net/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// The parser of endpoint lists.
+// Parsing of endpoint lists.
 #include "net/endpoint_list.hpp"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,8 @@
   REQUIRE(list->entries->size() == 1);
 }
 
-TEST_CASE("an endpoint list without a version is one of changes") {
+TEST_CASE(
+    "a version that is not a number is ignored, and a list that is not marked as full has changes only") {
   const Json json = {{"seq", "41"}, {"hosts", Json::array()}};
   const auto list = parse_endpoint_list(json);
   REQUIRE(list);
@@ -46,7 +47,7 @@
   REQUIRE(endpoint->started_at == std::chrono::milliseconds(1500));
 }
 
-TEST_CASE("a worker that is not said to be in service gets no new requests") {
+TEST_CASE("a worker whose health is not in_service is draining or gone") {
   const auto status = [](const char* health) {
     return parse_endpoint({{"host", "s-0"}, {"dial", "127.0.0.1:6379"}, {"health", health}})->status;
   };
--- a/test/net/gateway_config_test.cpp
+++ b/test/net/gateway_config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration of a gateway: precedence and errors.
+// The configuration of a gateway: precedence of its sources, defaults and errors.
 #include "net/gateway_config.hpp"
 
 #include <unistd.h>
@@ -13,7 +13,7 @@
 namespace ironquay::net {
 namespace {
 
-// A configuration file that GW_CONFIG names for as long as this lives.
+// A temporary configuration file. GW_CONFIG names it for the lifetime of this object.
 class ConfigFile {
  public:
   explicit ConfigFile(const std::string& text) {
@@ -42,7 +42,7 @@
           {"settings", default_settings()}};
 }
 
-// The error that the configuration causes, as its key and its text.
+// The key and the text of the error that the configuration causes; both are empty if there is no error.
 std::pair<std::string, std::string> error_of(const Json& config) {
   const ConfigFile file(config.dump());
   try {
@@ -53,7 +53,7 @@
   return {};
 }
 
-TEST_CASE("environment variables take precedence at startup, the file at a reload") {
+TEST_CASE("environment variables take precedence at startup, and the file takes precedence at a reload") {
   const ConfigFile file(valid_config().dump());
   setenv("GW_DISCOVERY", "127.0.0.1:7002", 1);
   const GatewayConfig at_startup = load_gateway_config(ConfigSource::startup);
@@ -95,7 +95,7 @@
   REQUIRE(error_of(Json::array()) == Error{"", "configuration: the file does not contain a JSON object"});
 }
 
-TEST_CASE("without a configuration file there is no configuration") {
+TEST_CASE("loading the configuration fails without a readable file") {
   unsetenv("GW_CONFIG");
   REQUIRE_THROWS_AS(load_gateway_config(ConfigSource::startup), ConfigError);
   setenv("GW_CONFIG", "/nonexistent/config.json", 1);
--- a/test/net/json_splitter_test.cpp
+++ b/test/net/json_splitter_test.cpp
@@ -1,4 +1,4 @@
-// The splitter of a stream of JSON objects, fed at once and in pieces of any size.
+// Splitting of a stream of JSON objects that arrives in pieces of any size.
 #include "net/json_splitter.hpp"
 
 #include <catch2/catch.hpp>
@@ -6,10 +6,10 @@
 namespace ironquay::net {
 namespace {
 
-/// What a splitter made of some text.
+/// The output of a splitter for some text.
 struct SplitResult {
   std::vector<std::string> objects;
-  int lines = 0;
+  int lines = 0;  // lines that ended between objects
   bool valid = true;
 };
 
@@ -23,7 +23,7 @@
   return result;
 }
 
-TEST_CASE("objects are split by their structure, across lines and in pieces of any size") {
+TEST_CASE("objects are split by their structure, over several lines and in pieces of any size") {
   const std::string nested = "{\n \"a\": [1, {\"}\": \"\\\"{\"}],\r\n\"b\": {}\n}", empty = "{}";
   const std::string text = nested + "\r\n\n \t" + empty + empty + "\n";
   for (std::size_t step = 1; step <= text.size(); ++step) {
@@ -35,7 +35,8 @@
   }
 }
 
-TEST_CASE("text that is no object, nested too deeply or too long is invalid, and nothing is split after it") {
+TEST_CASE(
+    "text that is not an object, nested too deeply or too long is invalid, and so is all that follows") {
   const std::string too_deep = "{\"a\":" + std::string(32, '[');
   const std::string too_long = "{" + std::string(17 << 20, ' ');
   for (const std::string& invalid : {std::string("x"), std::string("]"), too_deep, too_long}) {
--- a/test/net/reload_test.cpp
+++ b/test/net/reload_test.cpp
@@ -1,17 +1,20 @@
-// SIGHUP: the gateway reloads its configuration.
-// docs/incidents/rare-faults.md describes the faults that the last two cases guard against.
+// SIGHUP makes the gateway reload its configuration.
+// The last two cases guard against two faults (docs/incidents/rare-faults.md). SIGHUP arrives while the file
+// is still being written, and no second SIGHUP follows. A second reload returns to the previous address of
+// discovery; the watch that is still open there must stay in use, or the changes that it reports are lost.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("a reload moves discovery and counter, and counter calls in flight get their own replies") {
+TEST_CASE(
+    "a reload changes the discovery and counter addresses, and pending counter calls get their own replies") {
   Deployment deployment;
   TestConnection client = deployment.ready_client(), counter = deployment.counter.accept();
   auto [watch, request] = deployment.take_watch();
   client.send(small_plan_lookup("1") + small_plan_lookup("2"));
   const std::string first_call = counter.receive_command(), second_call = counter.receive_command();
-  REQUIRE_THAT(second_call, StartsWith(first_call.substr(0, 25)));  // of the same customer
+  REQUIRE_THAT(second_call, StartsWith(first_call.substr(0, 25)));  // both calls are for the same customer
 
   deployment.gateway.write_config("{");
   deployment.gateway.reload();
@@ -27,7 +30,7 @@
   const TestConnection unanswered = new_discovery.accept();
   TestConnection new_watch = new_discovery.accept();
   REQUIRE_THAT(new_watch.receive_http_head(), StartsWith("GET /discovery/hosts?watch=1 HTTP/1.1\r\n"));
-  REQUIRE(watch.receives_nothing_for(20ms));  // it stays open until the new address has answered
+  REQUIRE(watch.receives_nothing_for(20ms));  // the watch stays open until the new address has answered
   new_watch.send(std::string(kHttpOk) + deployment.endpoint_list(7, "in_service").dump(2));
   REQUIRE(watch.reaches_end());
   // The third call is answered first. Only the first one is within the quota.
@@ -53,7 +56,8 @@
   REQUIRE(deployment.gateway.times_logged("reload failed") == 1);
 }
 
-TEST_CASE("two reloads that return to the first discovery address keep the watch that is open there") {
+TEST_CASE(
+    "after two reloads that return to the first discovery address, the watch open there is still used") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client();
   auto [watch, request] = deployment.take_watch();
@@ -64,7 +68,7 @@
   deployment.config["discovery"] = deployment.discovery.address();
   deployment.reload_config();
   TestConnection new_watch = deployment.discovery.accept();
-  REQUIRE(other_watch.reaches_end());  // its answer is no longer needed
+  REQUIRE(other_watch.reaches_end());  // a watch at the other address is not needed any more
   REQUIRE_THAT(new_watch.receive_http_head(), Contains("watch=1 HTTP"));
   watch.send(watch_event(deployment.endpoint_change(45, 0, "terminating")));
   std::this_thread::sleep_for(20ms);
--- a/test/net/startup_test.cpp
+++ b/test/net/startup_test.cpp
@@ -1,6 +1,7 @@
-// The start of the gateway: configuration, address and signals.
-// Rare orders of events are forced: the gateway is paused while they are put in place.
-// docs/incidents/rare-faults.md describes the faults that these cases guard against.
+// Startup of the gateway: an invalid configuration, an address that is still in use, and early signals.
+// The cases guard against a restart that fails because the previous process still holds the address, a signal
+// during startup that is lost or kills the process, and a gateway that accepts clients after SIGTERM
+// (docs/incidents/rare-faults.md). To force a rare order of events, a test pauses the gateway process.
 #include <csignal>
 
 #include "support/deployment.hpp"
@@ -8,8 +9,8 @@
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("an invalid configuration ends the start with one line of log") {
-  const Json missing;
+TEST_CASE("an invalid configuration ends the process with one line in the log") {
+  const Json no_value;
   const auto fails_with = [](const char* key, const Json& value, const char* error) {
     Deployment deployment;
     deployment.config[key] = value;
@@ -20,14 +21,14 @@
     REQUIRE_THAT(log, Contains(error));
     REQUIRE(log.find('\n') == log.size() - 1);
   };
-  fails_with("settings", missing, "settings are missing");
+  fails_with("settings", no_value, "settings are missing");
   fails_with("settings", {{"classes", 3}}, "settings lack classes");
   fails_with("counter", "nowhere", "counter is not an address: 'nowhere'");
   fails_with("listen", "192.0.2.1:1", "listening at 192.0.2.1:1");
   fails_with("seed", "xyz", "seed is not a hexadecimal number");
 }
 
-TEST_CASE("the start waits until the previous process has released the address") {
+TEST_CASE("startup waits until the previous process has released the address") {
   Deployment deployment;
   FileDescriptor previous_listener = listen_tcp(deployment.address());
   deployment.start();
@@ -36,7 +37,7 @@
   deployment.ready_client();
 }
 
-TEST_CASE("a signal during the start is handled after it") {
+TEST_CASE("a signal that arrives during startup is handled after startup") {
   for (const int signal : {SIGHUP, SIGTERM}) {
     Deployment deployment(1);
     FileDescriptor previous_listener = listen_tcp(deployment.address());
@@ -63,7 +64,7 @@
   watch.send(std::string(kHttpOkChunked) + watch_event({{"hosts", Json::array()}}));
   deployment.gateway.resume();
   REQUIRE(deployment.gateway.exit_code() == 0);
-  // Whichever event the gateway handled first, it ends at once.
+  // Whichever event the gateway handled first, it shuts down immediately.
   REQUIRE_THAT(deployment.gateway.log(), Contains("stopped name=n0"));
 }
 
--- a/test/net/upstream_attempt_test.cpp
+++ b/test/net/upstream_attempt_test.cpp
@@ -1,15 +1,15 @@
-// Replies of workers, and which requests are retried after a failed attempt.
+// Which replies of workers the gateway accepts, and which requests it retries after a failed attempt.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("after a refused connection even a non-idempotent request goes to another worker") {
+TEST_CASE("after a refused connection even a non-idempotent request is retried at another worker") {
   Deployment deployment;
   deployment.worker(0).close();
   TestConnection client = deployment.ready_client();
-  // A worker with an attempt in flight is not preferred, so one of the two is sent to the closed worker
-  // first.
+  // The load balancer prefers a worker without an attempt in flight, so one of the two requests is sent to
+  // the closed worker first.
   client.send(pay_request("1") + pay_request("2"));
   for (int i = 0; i < 2; ++i) deployment.next_attempt().connection.answer_command(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v") + bulk_string("v")));
@@ -60,10 +60,11 @@
   REQUIRE(deployment.gateway.logs("reason=malformed-response"));
 }
 
-TEST_CASE("a valid value is used whatever follows it, and the connection is not reused") {
+TEST_CASE("a valid value is forwarded even if unexpected bytes follow it, and the connection is not reused") {
   const std::string value = "*3\r\n" + bulk_string("v");
   const std::string complete = worker_reply("v");
-  // A duplicate, stray bytes, a part of the reply that is no string, and one that is never completed.
+  // What follows the value: a duplicate reply, a stray byte, a malformed element, and an element that is
+  // never completed.
   for (const std::string& reply :
        {complete + complete, complete + "x", value + "!\r\n$-1\r\n", value + "$9\r\nused"}) {
     INFO(reply);
@@ -80,7 +81,7 @@
   }
 }
 
-TEST_CASE("a duplicate reply reaches no other request, and a lookup with a partial reply is retried") {
+TEST_CASE("a duplicate reply is not used for another request, and a lookup with a partial reply is retried") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
@@ -93,20 +94,21 @@
   const auto start = Clock::now();
   deployment.next_attempt().connection.answer_command(worker_reply("w"));
   REQUIRE(client.receives(bulk_string("w")));
-  REQUIRE(Clock::now() - start < 700ms);  // the attempt's timeout is nearly a second
+  REQUIRE(Clock::now() - start < 700ms);  // well before the attempt's timeout of nearly 1 s
 }
 
-TEST_CASE("an oversized value is forwarded though it arrives in slow pieces; one of gigabytes fails") {
+TEST_CASE(
+    "a value over the usual limit is forwarded even in slow pieces, and one of gigabytes fails the request") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
   TestConnection worker = deployment.next_attempt().connection;
-  constexpr std::size_t kPiece = 100'000;
-  const std::string value(3 * kPiece, 'x');
+  constexpr std::size_t kPieceBytes = 100'000;
+  const std::string value(3 * kPieceBytes, 'x');
   worker.answer_command("*3\r\n$300000\r\n");
-  for (std::size_t offset = 0; offset < value.size(); offset += kPiece) {
+  for (std::size_t offset = 0; offset < value.size(); offset += kPieceBytes) {
     std::this_thread::sleep_for(80ms);
-    worker.send(value.substr(offset, kPiece));
+    worker.send(value.substr(offset, kPieceBytes));
   }
   worker.send("\r\n$-1\r\n$-1\r\n");
   REQUIRE(client.receives(bulk_string(value)));
@@ -115,7 +117,7 @@
   REQUIRE(client.receives(kFailed));
 }
 
-TEST_CASE("a request that a worker answers with an error fails without a retry") {
+TEST_CASE("a request that a worker reports as invalid fails without a retry") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
@@ -124,7 +126,7 @@
   REQUIRE(deployment.no_attempt_for(20ms));
 }
 
-TEST_CASE("a request at an unresponsive worker is answered before its client gives up") {
+TEST_CASE("a request at an unresponsive worker is answered before its client times out") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   const auto start = Clock::now();
--- a/test/net/upstream_connection_test.cpp
+++ b/test/net/upstream_connection_test.cpp
@@ -1,11 +1,14 @@
 // Worker connections that are kept open and reused.
-// docs/incidents/rare-faults.md describes the faults that the last two cases guard against.
+// The last two cases guard against two faults (docs/incidents/rare-faults.md). A worker sends a duplicate of
+// a reply a few milliseconds after it, which would be taken for the reply to the next request on a connection
+// that is reused immediately. A worker resets a reused connection after it has received a request, which may
+// have been executed and must not be executed twice.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("an idle worker connection is reused, the latest one first") {
+TEST_CASE("an idle worker connection is reused for the next requests") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
@@ -23,43 +26,43 @@
 TEST_CASE("a connection that the worker has closed is not reused") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client();
-  // Three are in flight and the fourth waits for capacity, so that it is forwarded when the first reply
-  // arrives together with the close of its connection.
+  // Three requests are in flight and the fourth waits for capacity. It is forwarded when the first reply
+  // arrives, together with the end of stream of its connection.
   for (const char* id : {"1", "2", "3", "4"}) client.send(pay_request(id));
-  std::vector<TestConnection> workers;
-  for (int i = 0; i < 3; ++i) workers.push_back(deployment.next_attempt().connection);
-  workers[0].receive_command();
-  workers[0].send_and_half_close(worker_reply("v"));
-  REQUIRE(workers[0].reaches_end());
-  TestConnection next = deployment.next_attempt().connection;
-  REQUIRE_THAT(next.receive_command(), Contains(" 4 "));
-  next.send(worker_reply("v"));
-  for (int i = 1; i < 3; ++i) workers[static_cast<std::size_t>(i)].reset();
-  next.half_close();  // while it is idle
-  REQUIRE(next.reaches_end());
+  std::vector<TestConnection> connections;
+  for (int i = 0; i < 3; ++i) connections.push_back(deployment.next_attempt().connection);
+  connections[0].receive_command();
+  connections[0].send_and_half_close(worker_reply("v"));
+  REQUIRE(connections[0].reaches_end());
+  TestConnection new_connection = deployment.next_attempt().connection;
+  REQUIRE_THAT(new_connection.receive_command(), Contains(" 4 "));
+  new_connection.send(worker_reply("v"));
+  for (int i = 1; i < 3; ++i) connections[static_cast<std::size_t>(i)].reset();
+  new_connection.half_close();  // the connection is idle
+  REQUIRE(new_connection.reaches_end());
   client.send(pay_request("5"));
   REQUIRE_THAT(deployment.next_attempt().connection.receive_command(), Contains(" 5 "));
 }
 
-TEST_CASE("a new worker at a former worker's address inherits no connection, not even a busy one") {
+TEST_CASE("connections to a worker, even busy ones, are not reused for a new worker at the same address") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client();
   auto [watch, request] = deployment.take_watch();
   client.send(lookup_request("1"));
-  TestConnection former = deployment.next_attempt().connection;
-  former.receive_command();
+  TestConnection old_connection = deployment.next_attempt().connection;
+  old_connection.receive_command();
   Json list = deployment.endpoint_list(43, "in_service");
   list["hosts"][0]["host"] = "s-new";
   watch.send(watch_event(list));
   std::this_thread::sleep_for(50ms);  // until the gateway has applied the event
-  former.send(worker_reply("v"));
+  old_connection.send(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v")));
   watch.send(watch_event(deployment.empty_endpoint_change(44)));
-  std::this_thread::sleep_for(50ms);  // the same
+  std::this_thread::sleep_for(50ms);  // until the gateway has applied the event
   client.send(lookup_request("2"));
   deployment.next_attempt().connection.answer_command(worker_reply("w"));
   REQUIRE(client.receives(bulk_string("w")));
-  REQUIRE(former.reaches_end());
+  REQUIRE(old_connection.reaches_end());
 }
 
 TEST_CASE("a worker connection is not reused while a duplicate reply may still arrive") {
@@ -72,13 +75,13 @@
     TestConnection worker = deployment.next_attempt().connection;
     worker.receive_command();
     worker.send(worker_reply("v"));
-    const auto replied = Clock::now();
+    const auto replied_at = Clock::now();
     REQUIRE(client.receives(bulk_string("v")));
     std::this_thread::sleep_for(7ms);
     client.send(lookup_request(id + "b"));
     REQUIRE(readable_any({&worker.fd(), &deployment.worker(0).fd()}, kWaitTimeout));
-    // On a slow machine the delay may have been over.
-    const bool in_time = seconds_since(replied) < 0.019;
+    // On a slow machine the second request may have arrived after the reuse delay.
+    const bool in_time = seconds_since(replied_at) < 0.019;
     const bool uses_new_connection = deployment.worker(0).has_connection_within(0ms);
     if (in_time) REQUIRE(uses_new_connection);
     TestConnection new_connection;
--- a/test/net/upstream_late_connect_test.cpp
+++ b/test/net/upstream_late_connect_test.cpp
@@ -1,12 +1,16 @@
 // Attempts that are no longer valid when their connection is established.
-// docs/incidents/rare-faults.md describes the faults that these cases guard against.
+// A worker with a full listen backlog accepts a connection only after seconds
+// (docs/incidents/rare-faults.md). An attempt that waits for the connection must not be sent if meanwhile the
+// worker starts to drain (it must get no new requests), the deduplication window ends (the request could be
+// executed twice) or the client disconnects (the result would be useless).
 #include "support/deployment.hpp"
 #include "support/full_backlog_server.hpp"
 
 namespace ironquay::net {
 namespace {
 
-/// Lets `late_worker` take the place of worker 0, with time enough to connect to it.
+/// Replaces worker 0 by `late_worker` and extends the time-outs, so that the gateway waits for its
+/// connection.
 void replace_worker_0(Deployment& deployment, const FullBacklogServer& late_worker) {
   deployment.config["settings"]["bounds"]["connect_timeout"] = 4000;
   set_client_timeout_and_objective(deployment.config["settings"], 6000);
@@ -39,11 +43,11 @@
   REQUIRE(client.receives(bulk_string("v")));
 }
 
-TEST_CASE("a retry whose connection is established after the idempotency window is never sent") {
+TEST_CASE("a retry whose connection is established after the deduplication window is never sent") {
   FullBacklogServer late_worker;
   Deployment deployment(2);
   replace_worker_0(deployment, late_worker);
-  deployment.config["settings"]["classes"][1]["key_ttl"] = 700;  // of orders, in milliseconds
+  deployment.config["settings"]["classes"][1]["key_ttl"] = 700;  // the deduplication window of orders, ms
   TestConnection client = deployment.ready_client();
   auto [watch, request] = deployment.take_watch();
   watch.send(watch_event(deployment.endpoint_change(42, 0, "terminating")));
@@ -52,7 +56,7 @@
   worker.receive_command();
   watch.send(watch_event(deployment.endpoint_change(43, 0, "in_service")) +
              watch_event(deployment.endpoint_change(44, 1, "terminating")));
-  worker.reset();  // the request may have run; its retry waits for the late worker
+  worker.reset();  // the request may have been executed; its retry waits for the late worker
   late_worker.wait_for_pending_connect();
   late_worker.free_backlog();
   REQUIRE(closes_without_command(late_worker.accept()));
--- a/test/net/worker_id_map_test.cpp
+++ b/test/net/worker_id_map_test.cpp
@@ -1,4 +1,4 @@
-// The ids of workers.
+// Assignment of ids to workers.
 #include "net/worker_id_map.hpp"
 
 #include <catch2/catch.hpp>
