--- a/src/net/counter_client.hpp
+++ b/src/net/counter_client.hpp
@@ -51,9 +51,12 @@
   Address address_;
   Duration call_timeout_;
   Listener& listener_;
-  std::unique_ptr<CounterConnection> connection_;           // null while the client waits to reconnect
-  std::unique_ptr<CounterConnection> draining_connection_;  // to the previous address; null if there is none
-  std::deque<CounterResult> results_;                       // not reported yet, in the order of delivery
+  // The connection for new calls; null while the client waits to reconnect.
+  std::unique_ptr<CounterConnection> connection_;
+  // The connection to the previous address, or null.
+  std::unique_ptr<CounterConnection> draining_connection_;
+  // Results that are not reported yet, in the order of delivery.
+  std::deque<CounterResult> results_;
   // Results that are held back because draining_connection_ has a pending call for the same name.
   std::deque<CounterResult> blocked_results_;
   bool delivering_ = false;  // deliver_results() is running
--- a/src/net/counter_connection.cpp
+++ b/src/net/counter_connection.cpp
@@ -19,7 +19,7 @@
 // overloaded service still answers the calls in order, but a host that has vanished leaves the connection
 // open forever.
 constexpr int kInactivityCallTimeouts = 3;
-// The rest of an incomplete response must arrive within the call timeout divided by this number.
+// While a response is incomplete, more of it must arrive within the call timeout divided by this number.
 constexpr int kResponseGapDivisor = 2;
 
 // The count after an addition; empty if the reply is not a finite number.
--- a/src/net/counter_connection.hpp
+++ b/src/net/counter_connection.hpp
@@ -89,7 +89,7 @@
   std::deque<Call> calls_;          // the calls without a response, oldest first
   std::size_t enqueued_bytes_ = 0;  // bytes written or buffered for writing
   std::size_t responses_ = 0;       // number of responses received
-  Duration last_response_at_;       // or when calls_ last became non-empty, if that is later
+  Duration last_response_at_;       // time of the last response, or when calls_ became non-empty after it
   Timer call_timer_;
   Timer heartbeat_timer_;
   Timer response_gap_timer_;
--- a/src/net/endpoint_discovery.hpp
+++ b/src/net/endpoint_discovery.hpp
@@ -70,9 +70,9 @@
   Address address_;
   DiscoveryKind kind_;
   Listener& listener_;
-  std::unique_ptr<DiscoveryWatch> active_watch_;                  // has responded; null if there is none
-  std::vector<std::unique_ptr<DiscoveryWatch>> pending_watches_;  // without a response so far, oldest first
-  std::int64_t version_ = -1;   // of the last list from address_; negative if there is none
+  std::unique_ptr<DiscoveryWatch> active_watch_;                  // the watch that has responded, or null
+  std::vector<std::unique_ptr<DiscoveryWatch>> pending_watches_;  // watches without a response, oldest first
+  std::int64_t version_ = -1;   // version of the last list from address_; negative if there is none
   bool has_responded_ = false;  // any watch has responded since startup
   Duration backoff_{0};         // mean of the latest retry delay; 0 after a response
   std::ranlux24_base random_;   // the generator of the jitter
--- a/src/net/gateway_config.hpp
+++ b/src/net/gateway_config.hpp
@@ -13,7 +13,7 @@
 namespace ironquay::net {
 
 struct GatewayConfig {
-  std::string name;                         // of the gateway, for the log
+  std::string name;                         // the gateway's name in the log
   Address listen{};                         // address at which clients connect
   Address discovery{};                      // address of discovery
   std::uint64_t seed = 0;                   // seed of this gateway's random numbers
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -107,7 +107,7 @@
 }
 
 // Whether the attempt must not be written any more. An attempt whose bytes are still buffered has not been
-// executed. When its bytes can be written at last, its worker may be draining, or the worker's deduplication
+// executed. When its bytes can finally be written, its worker may be draining, or the worker's deduplication
 // window for the idempotency key may have ended.
 bool UpstreamConnection::attempt_has_expired(std::uint32_t events) {
   const bool can_write = (events & EPOLLOUT) && !(events & (EPOLLERR | EPOLLHUP));
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -20,7 +20,7 @@
   connect_refused,     // the connection could not be established
   connect_timed_out,   // the connection was not established in time
   response_timed_out,  // the command was not written, or not answered, in time
-  closed_by_worker,    // the worker closed the connection in the regular way
+  closed_by_worker,    // the worker closed the connection normally
   reset_by_worker,     // the connection was reset
   malformed_response,  // the response was unreadable or incomplete, or no command was in flight
   trailing_bytes,      // more bytes followed a valid response
@@ -47,7 +47,7 @@
   std::size_t attempt = 0;  // index among the request's attempts
   WorkerId worker = 0;
   Outcome outcome = Outcome::success;
-  Duration elapsed{0};      // since the attempt was started
+  Duration elapsed{0};      // time since the attempt was started
   std::string_view value;   // encoded as the worker sent it; empty unless the attempt succeeded
   double actual_units = 0;  // units of quota that the worker reported; 0 if it reported none
 };
@@ -94,7 +94,7 @@
   Duration idle_since() const { return use_ == Use::idle ? use_since_ : Duration::max(); }
 
  private:
-  // What the connection is used for at present.
+  // What the connection is currently used for.
   enum class Use { idle, attempt, health_check };
 
   void on_events(std::uint32_t events) override;
@@ -123,10 +123,10 @@
   Timer timeout_timer_;
   Duration opened_at_;
   Use use_ = Use::idle;
-  RequestId request_ = 0;             // of the latest attempt
+  RequestId request_ = 0;             // the request of the latest attempt
   std::size_t attempt_ = 0;           // index of the latest attempt among the request's attempts
   Duration use_since_{0};             // when the attempt, the health check or the idle time started
-  Duration deadline_{0};              // of the attempt or health check
+  Duration deadline_{0};              // when the attempt or health check times out
   std::size_t commands_started_ = 0;  // number of attempts and health checks so far
   std::size_t buffered_bytes_ = 0;    // bytes received of a response that is incomplete
   bool out_of_sync_ = false;          // it is unknown which command the next bytes received would answer
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -56,7 +56,7 @@
  private:
   struct Worker {
     Address address{};
-    Duration started_at{0};                             // of the worker's process
+    Duration started_at{0};                             // when the worker's process started
     Duration endpoint_changed_at{0};                    // when the address or the process last changed
     std::vector<UpstreamConnection*> idle_connections;  // the most recently used one is last
   };
