--- a/src/policy/attempt_observer.cpp
+++ b/src/policy/attempt_observer.cpp
@@ -11,15 +11,16 @@
 // the work of single requests varies more than the speed of workers.
 constexpr double kRelativeLatencySmoothing = 0.05;
 constexpr double kMeanLatencySmoothing = 0.2;
+// A sample of the relative latency is limited to this value.
 constexpr double kMaxRelativeLatency = 10;
 // A response indicates an overload of the fleet above this ratio of latency to objective, which is twice the
 // ratio without load. With a higher threshold congestion persisted; with a lower one a fleet with little load
 // shed requests.
 constexpr double kOverloadLatencyRatio = 0.3;
 
-// `elapsed` and `expected` are in seconds; `expected` is the route's latency for a request of mean size.
-void update_latency(Worker& worker, double elapsed, double relative_size, double expected) {
-  const double relative_latency = std::min(elapsed / relative_size / expected, kMaxRelativeLatency);
+// Times are in seconds. `expected_latency` is the route's latency for a request of mean size.
+void update_latency(Worker& worker, double elapsed, double relative_size, double expected_latency) {
+  const double relative_latency = std::min(elapsed / relative_size / expected_latency, kMaxRelativeLatency);
   worker.relative_latency += kRelativeLatencySmoothing * (relative_latency - worker.relative_latency);
   worker.mean_latency += kMeanLatencySmoothing * (elapsed - worker.mean_latency);
 }
@@ -34,10 +35,11 @@
   // A request of more units is assumed to take proportionally longer, so the longer latency of its response
   // does not count as slow.
   const double relative_size = route.relative_size(request.units);
-  const double seconds = to_seconds(elapsed);
-  const double expected = route.mean_latency() > 0 ? route.mean_latency() : seconds / relative_size;
+  const double elapsed_seconds = to_seconds(elapsed);
+  const double expected_latency =
+      route.mean_latency() > 0 ? route.mean_latency() : elapsed_seconds / relative_size;
   if (outcome == Outcome::success || outcome == Outcome::timed_out) {
-    update_latency(worker, seconds, relative_size, expected);
+    update_latency(worker, elapsed_seconds, relative_size, expected_latency);
   }
   if (outcome == Outcome::success) {
     record_response(worker, route, request, elapsed, now);
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -28,11 +28,13 @@
   const double limit = worker.concurrency_limit;
   const double slow_ratio = std::max(kSlowLatencyRatio, kSlowUnloadedFactor * timing.unloaded_latency_ratio);
   const double fast_ratio = std::max(kFastLatencyRatio, timing.unloaded_latency_ratio);
-  const double initial = std::min(1.0, subset_.initial_concurrency_limit(registry_.ready().size()));
-  if (limit < initial && timing.latency_ratio < slow_ratio) {
-    registry_.set_concurrency_limit(worker, std::min(initial, 2 * limit));
+  const double initial_limit = std::min(1.0, subset_.initial_concurrency_limit(registry_.ready().size()));
+  // A limit below the initial limit doubles with each response that is not slow. A higher limit grows in
+  // small steps.
+  if (limit < initial_limit && timing.latency_ratio < slow_ratio) {
+    registry_.set_concurrency_limit(worker, std::min(initial_limit, 2 * limit));
   } else if (timing.latency_ratio < fast_ratio && worker.in_flight + 1 >= limit) {
-    registry_.set_concurrency_limit(worker, limit + initial * initial / limit);
+    registry_.set_concurrency_limit(worker, limit + initial_limit * initial_limit / limit);
   }
   if (timing.latency_ratio > slow_ratio) shrink(worker, kSlowResponseDecrease, timing.elapsed, now);
 }
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -14,7 +14,7 @@
 
 // The latency of a response relative to its route, so that the limiter does not depend on routes.
 struct ResponseTiming {
-  Duration elapsed{0};
+  Duration elapsed{0};  // time from sending the attempt to its response
   // Latency of the response, scaled to a request of mean size, divided by the route's latency objective.
   double latency_ratio = 0;
   // RouteStatistics::unloaded_latency() divided by the route's latency objective.
@@ -26,7 +26,9 @@
   ConcurrencyLimiter(WorkerRegistry& registry, const WorkerSubset& subset)
       : registry_(registry), subset_(subset) {}
 
+  // Adapts the worker's limit after a response.
   void record_response(Worker& worker, const ResponseTiming& timing, Duration now);
+  // Adapts the worker's limit after an attempt that failed `elapsed` after it was sent.
   void record_failure(Worker& worker, Outcome outcome, Duration elapsed, Duration now);
   // Reduces the worker's limit to `max_limit` if it is higher.
   void cap_limit(Worker& worker, double max_limit);
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -117,7 +117,7 @@
   void remove_request(RequestId id);
   // The number of requests that may be queued.
   std::size_t queue_limit() const;
-  // Load of all workers as this gateway sees it: 0 is idle, 1 and above is overloaded.
+  // Load of all workers as this gateway sees it: 0 is idle, 1 and above is fully loaded.
   double load() const;
 
   PolicySettings settings_;
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -3,9 +3,11 @@
 namespace ironquay {
 namespace {
 
-constexpr int kFailuresToEject = 3;  // consecutive
+// The number of consecutive failures, weighted by failure_weight(), after which a worker is ejected.
+constexpr int kFailuresToEject = 3;
 // A failed connection attempt counts as this many failures, so the second one in a row ejects the worker.
 constexpr int kConnectFailureWeight = 2;
+// The concurrency limit of an ejected worker; see ConcurrencyLimiter for limits below one.
 constexpr double kEjectedLimit = 1.0 / 8;
 
 // A rejection means that the worker's queue is full or that it drains, not that it is faulty.
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -10,6 +10,7 @@
  public:
   static void record_success(Worker& worker) { worker.consecutive_failures = 0; }
   static void record_failure(Worker& worker, Outcome outcome);
+  // Whether the worker's consecutive failures have reached the threshold for ejection.
   static bool is_ejected(const Worker& worker);
   // The concurrency limit to which an ejected worker is reduced. It still receives few attempts, and the
   // limit grows again when they succeed.
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -26,8 +26,8 @@
 
 double SlowStart::capacity_share(const Worker& worker, Duration now) const {
   const ContractSettings& contract = settings_.contract;
-  const double window = std::max(to_seconds(contract.slow_start_window), 1e-3);
-  const double progress = to_seconds(now - worker.started_at) / window;
+  const double window_seconds = std::max(to_seconds(contract.slow_start_window), 1e-3);
+  const double progress = to_seconds(now - worker.started_at) / window_seconds;
   if (worker.started_at <= 0s || progress >= 1) return 1;
   return contract.initial_capacity_share + (1 - contract.initial_capacity_share) * std::max(0.0, progress);
 }
@@ -35,8 +35,8 @@
 void SlowStart::accrue_budget(Worker& worker, bool in_subset, const SlowStartLoad& load, Duration now) const {
   const double capacity = capacity_share(worker, now);
   if (capacity >= 1) return;
-  const auto ready = static_cast<double>(load.ready_workers);
-  const double warm_fraction = static_cast<double>(load.warm_workers) / std::max(1.0, ready);
+  const auto ready_workers = static_cast<double>(load.ready_workers);
+  const double warm_fraction = static_cast<double>(load.warm_workers) / std::max(1.0, ready_workers);
   const double warm_in_subset = std::max(1.0, static_cast<double>(load.subset_size) * warm_fraction);
   const double min_send_rate = kMinFleetRate / std::max(kMinFleetSize, settings_.gateway_count);
   const double rate = capacity * std::max(min_send_rate, in_subset ? load.send_rate / warm_in_subset : 0);
--- a/src/policy/timing_policy.cpp
+++ b/src/policy/timing_policy.cpp
@@ -12,17 +12,18 @@
 // Clock ticks that the final answer may take to reach the client before the client's time-out.
 constexpr int kAnswerTransitTicks = 3;
 // If the time left of a client retry differs by no more than this from that of a first attempt, the client is
-// assumed to give each of its attempts the same time.
+// assumed to use the same time-out for each of its attempts.
 constexpr Duration kTimeoutTolerance = 10ms;
 // From this load of the fleet on, attempts leave no time for a retry.
 constexpr double kMaxRetryReserveLoad = 0.7;
 // The time-out of an attempt is this multiple of this quantile of the route's response times.
 constexpr double kTimeoutFactor = 3;
 constexpr double kTimeoutQuantile = 0.95;
-// Bounds of the time-out, as ratios to the latency objective. The lower one is the latency of common slow
-// responses. From the upper one on, too little of the objective, about a third, is left for a retry, so the
-// attempt may take until the request's deadline.
+// The time-out divided by the latency objective is at least this value, so that ordinary slow responses do
+// not time out.
 constexpr double kMinTimeoutRatio = 0.3;
+// Below this ratio, about a third of the latency objective remains for a retry. From it on, too little
+// remains, and the attempt may take until the request's deadline.
 constexpr double kMaxTimeoutRatio = 0.65;
 
 }  // namespace
@@ -41,8 +42,8 @@
 
 // The latency objective counts from the client's first attempt. The time left of a client retry usually ends
 // at the client time-out, so the client time-out minus the time left is the time since the first attempt. If
-// the retry has as much time left as a first attempt, the client limits each attempt separately. The same
-// difference is then only an upper bound, and half of it is assumed.
+// the retry has as much time left as a first attempt, the client uses a separate time-out for each attempt.
+// That difference is then only an upper bound of the time since the first attempt, and half of it is assumed.
 Duration TimingPolicy::time_since_first_attempt(const IncomingRequest& incoming) const {
   if (!incoming.is_retry) return Duration(0);
   const Duration first_attempt_timeout = routes_[incoming.route].max_first_attempt_timeout();
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -16,13 +16,13 @@
 }  // namespace
 
 std::optional<WorkerId> WorkerSelector::select(const Request& request, Duration now) {
-  const std::size_t ready = registry_.ready().size();
-  if (ready == 0) return std::nullopt;
+  const std::size_t ready_count = registry_.ready().size();
+  if (ready_count == 0) return std::nullopt;
   for (int draw = 0; draw < kMaxDraws; ++draw) {
     // Only some workers discard the repeat of an earlier attempt, and the subset may contain none of them.
     const bool use_all_workers =
         draw >= kDrawsInSubset || retry_policy_.allowed_actions(request, now).repeated_attempt != nullptr;
-    const std::size_t candidates = use_all_workers ? ready : subset_.size(ready);
+    const std::size_t candidates = use_all_workers ? ready_count : subset_.size(ready_count);
     const std::size_t first = random_.below(candidates);
     const std::size_t distance = 1 + random_.below(std::max<std::size_t>(1, candidates - 1));
     const std::size_t second = (first + distance) % candidates;
@@ -49,11 +49,11 @@
 }
 
 bool WorkerSelector::check_candidate(const Request& request, std::size_t position, Duration now) {
-  const std::size_t ready = registry_.ready().size();
+  const std::size_t ready_count = registry_.ready().size();
   const WorkerId id = worker_at_position(position);
   // A retry uses a different worker than the previous attempt if more than one is ready.
-  if (ready > 1 && !request.attempts.empty() && request.attempts.back().worker == id) return false;
-  const bool in_subset = position < subset_.size(ready);
+  if (ready_count > 1 && !request.attempts.empty() && request.attempts.back().worker == id) return false;
+  const bool in_subset = position < subset_.size(ready_count);
   slow_start_.accrue_budget(registry_.at(id), in_subset, slow_start_load(), now);
   return can_send_to(request, id, now);
 }
@@ -66,13 +66,13 @@
 }
 
 WorkerId WorkerSelector::worker_at_position(std::size_t position) const {
-  const std::size_t ready = registry_.ready().size();
-  return registry_.ready()[(subset_.offset(ready) + position) % ready];
+  const std::size_t ready_count = registry_.ready().size();
+  return registry_.ready()[(subset_.offset(ready_count) + position) % ready_count];
 }
 
 SlowStartLoad WorkerSelector::slow_start_load() const {
-  const std::size_t ready = registry_.ready().size();
-  return {subset_.send_rate(), subset_.size(ready), ready, registry_.warm_count()};
+  const std::size_t ready_count = registry_.ready().size();
+  return {subset_.send_rate(), subset_.size(ready_count), ready_count, registry_.warm_count()};
 }
 
 }  // namespace ironquay
--- a/test/policy/deadline_test.cpp
+++ b/test/policy/deadline_test.cpp
@@ -1,4 +1,4 @@
-// Final answers: every request gets exactly one, by its deadline.
+// Tests that every request gets exactly one final answer, by its deadline.
 #include <catch2/catch.hpp>
 
 #include "support.hpp"
@@ -6,9 +6,10 @@
 namespace ironquay {
 namespace {
 
-TEST_CASE("a request in flight at its deadline gets its one final answer") {
-  const std::pair<std::size_t, std::string> rows[] = {{0, "reject 1"}, {1, "fail 1"}, {2, "fail 1"}};
-  for (const auto& [route, answer] : rows) {
+TEST_CASE("a request with an attempt in flight at its deadline gets exactly one final answer") {
+  const std::pair<std::size_t, std::string> answers_by_route[] = {
+      {0, "reject 1"}, {1, "fail 1"}, {2, "fail 1"}};
+  for (const auto& [route, answer] : answers_by_route) {
     Fixture fixture;
     fixture.add_worker(7);
     fixture.add_request(1, route).attempts = {make_attempt(true, true)};
@@ -20,22 +21,23 @@
   }
 }
 
-// Incident on koshi-feed: retries in time were rejected as late, since last retries have more time than first
-// attempts.
-TEST_CASE("a client's retry is late only when its client's own time-out says so") {
+// Guards against rejecting client retries as late although they can still meet the latency objective. The
+// last retry of a client may have more time left than its first attempt had, so the time left alone does not
+// show when the client sent the first attempt. Seen in the koshi-feed incident.
+TEST_CASE("a client retry is rejected as late only if the latency objective has passed") {
   Fixture fixture;
   fixture.add_worker(1);
-  const auto arrives = [&](RequestId id, Duration time_left, bool is_retry) {
+  const auto action_on_arrival = [&](RequestId id, Duration time_left, bool is_retry) {
     fixture.balancer.on_request(0s, {id, "c", 0, 0, 1, 0, 3, time_left, is_retry});
     return fixture.last_action();
   };
-  CHECK(arrives(1, 2s, false) == "send 1 to 1");
-  CHECK(arrives(2, 2900ms, true) == "send 2 to 1");
-  CHECK(arrives(3, 2s, true) == "send 3 to 1");
-  CHECK(arrives(4, 1900ms, true) == "reject 4");
+  CHECK(action_on_arrival(1, 2s, false) == "send 1 to 1");
+  CHECK(action_on_arrival(2, 2900ms, true) == "send 2 to 1");
+  CHECK(action_on_arrival(3, 2s, true) == "send 3 to 1");
+  CHECK(action_on_arrival(4, 1900ms, true) == "reject 4");
 }
 
-TEST_CASE("a shortened deadline is kept, whatever the client grants; a longer one changes nothing") {
+TEST_CASE("on_deadline_shortened() moves a deadline to an earlier time but never to a later one") {
   Fixture fixture;
   fixture.add_worker(1);
   RequestTable& requests = fixture.modules.requests();
@@ -47,11 +49,11 @@
   fixture.balancer.on_deadline_shortened(1ms, 1, 101ms);
   fixture.balancer.on_timer(95ms);
   CHECK(fixture.last_action() == "send 1 to 1");
-  fixture.balancer.on_timer(96ms);  // three ticks for the answer to arrive
+  fixture.balancer.on_timer(96ms);  // 102 ms less three ticks of 2 ms for the answer to reach the client
   CHECK(fixture.last_action() == "cancel 1");
   CHECK(requests.empty());
   CHECK(requests.earliest_deadline() == Duration::max());
-  fixture.balancer.on_deadline_shortened(97ms, 1, 1s);  // no longer known
+  fixture.balancer.on_deadline_shortened(97ms, 1, 1s);  // the request has already been answered
   CHECK(requests.earliest_deadline() == Duration::max());
 }
 
--- a/test/policy/endpoint_list_test.cpp
+++ b/test/policy/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Workers as endpoint lists announce them, and the subset that a gateway prefers.
+// Tests of how endpoint lists change the set of workers, and of the gateway's worker subset.
 #include <catch2/catch.hpp>
 
 #include "support.hpp"
@@ -6,7 +6,7 @@
 namespace ironquay {
 namespace {
 
-TEST_CASE("nothing new goes to a worker announced as draining, gone, or missing from a full list") {
+TEST_CASE("a worker that is draining, or absent from a full endpoint list, receives no new attempts") {
   Fixture fixture;
   for (const WorkerId id : {1, 2, 3}) fixture.add_worker(id);
   const Request& request = fixture.add_request(1, 0);
@@ -22,7 +22,7 @@
   CHECK(fixture.modules.workers().ready() == std::vector<WorkerId>{3});
 }
 
-TEST_CASE("what is gone is forgotten: workers without attempts in flight, customers unseen for a period") {
+TEST_CASE("workers that are gone and customers without recent requests are removed") {
   Fixture fixture;
   for (const WorkerId id : {1, 2}) fixture.add_worker(id);
   WorkerRegistry& workers = fixture.modules.workers();
@@ -31,7 +31,7 @@
   fixture.modules.quota().slice("shared", 0, 3, 0s);
   fixture.balancer.on_endpoint_list_begin(0s, EndpointListKind::full);
   fixture.balancer.on_endpoint_list_end(0s);
-  CHECK(workers.size() == 1);
+  CHECK(workers.size() == 1);  // worker 2 still has an attempt in flight
   CHECK_FALSE(fixture.modules.selector().can_send_to(fixture.add_request(1, 0), 2, 0s));
   fixture.balancer.on_attempt_end(0s, {99, 0, 2, Outcome::connection_lost, 0s, true, 0});
   fixture.balancer.on_endpoint_list_begin(0s, EndpointListKind::delta);
@@ -42,7 +42,7 @@
   CHECK_FALSE(fixture.quota.has_rebalances());
 }
 
-TEST_CASE("a restarted process is a new warming worker whose attempts in flight stay counted") {
+TEST_CASE("the state of a restarted worker is reset, except for its attempts in flight") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
   worker.in_flight = 2;
@@ -55,7 +55,7 @@
   CHECK(worker.started_at == 500ms);
 }
 
-TEST_CASE("a list that failed leaves the old one in place and is requested again") {
+TEST_CASE("after a failed endpoint list the previous list stays in use and the list is requested again") {
   PolicySettings settings = default_settings();
   settings.capabilities.polls_endpoints = true;
   Fixture fixture(settings);
@@ -68,8 +68,10 @@
   CHECK(fixture.effects.actions == std::vector<std::string>{"subscribe"});
 }
 
-// Incidents at full size: each gateway met a hung worker once in half a minute and learnt nothing of it.
-TEST_CASE("among hundreds a gateway keeps to a subset of workers, and leaves it if none there can be used") {
+// Guards against hung workers going undetected: with hundreds of gateways that each use all workers, a
+// gateway sends an attempt to a given worker only about once in 30 seconds, too rarely to eject it.
+TEST_CASE(
+    "a gateway among hundreds uses its worker subset, and all workers if none of the subset is usable") {
   PolicySettings settings = default_settings();
   settings.gateway_count = 300;
   settings.gateway_index = 30;
--- a/test/policy/retry_policy_test.cpp
+++ b/test/policy/retry_policy_test.cpp
@@ -7,10 +7,10 @@
 namespace ironquay {
 namespace {
 
-TEST_CASE("the allowed actions follow from the route and the attempts") {
+TEST_CASE("the allowed actions depend on the idempotency of the route and the state of the attempt") {
   struct Row {
     std::size_t route;
-    bool in_flight, may_have_executed, send, reject, repeats;
+    bool in_flight, may_have_executed, send, reject, has_repeated_attempt;
   };
   const Row rows[] = {{0, false, true, true, true, false},  {0, true, true, false, true, false},
                       {1, false, false, true, true, false}, {1, false, true, true, false, true},
@@ -26,11 +26,11 @@
     CAPTURE(row.route, row.in_flight, row.may_have_executed);
     CHECK(allowed.send == row.send);
     CHECK(allowed.reject == row.reject);
-    CHECK((allowed.repeated_attempt != nullptr) == row.repeats);
+    CHECK((allowed.repeated_attempt != nullptr) == row.has_repeated_attempt);
   }
 }
 
-TEST_CASE("a hedged request is sent only where permitted, and no more attempts than permitted") {
+TEST_CASE("a hedged request is not sent on a non-idempotent route, and the number of attempts is limited") {
   PolicySettings settings = default_settings();
   settings.capabilities.hedging = true;
   const RetryPolicy policy(settings);
@@ -44,8 +44,9 @@
   CHECK_FALSE(policy.allowed_actions(request, 0s).send);
 }
 
-// Incident on koshi-feed: a retry was queued until workers no longer discarded its repeat.
-TEST_CASE("a keyed request is not sent outside its cell, nor once its repeat is no longer discarded") {
+// Guards against executing a keyed request twice: a retry that stays queued until its deduplication window
+// has ended is not discarded by the worker any more. Seen in the koshi-feed incident.
+TEST_CASE("a keyed request is retried only in its deduplication scope and window") {
   Fixture fixture;
   fixture.add_worker(1).cell = 3;
   fixture.add_worker(2).cell = 4;
@@ -57,39 +58,39 @@
   CHECK_FALSE(selector.can_send_to(request, 1, 100ms + 4s));
 }
 
-// Incident "rare faults": an attempt decided in time was written when its connection came up, up to 1.5 s
-// later.
-TEST_CASE("an attempt whose bytes waited may be sent only while all that allowed it still holds") {
+// Guards against writing an outdated attempt: an attempt that waits for its connection may be written up to
+// 1.5 s after the decision to send it. Seen in the incident "rare faults".
+TEST_CASE("an attempt that waited for a connection is sent only if it is still allowed") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
   const auto may_send = [&](Duration now, RequestId id, std::size_t attempt) {
     return fixture.balancer.may_send_attempt(now, id, attempt);
   };
   for (const RequestId id : {1, 2, 3}) {
-    // Idempotent, keyed with a deduplication window of 4 s, and non-idempotent.
+    // The routes are idempotent, keyed with a deduplication window of 4 s, and non-idempotent.
     Request& request = fixture.add_request(id, id - 1);
     request.attempts.push_back({1, {}, 0, 0s, false, true});
     request.attempts.push_back({1, {}, 0, 1s, true, true});
   }
   CHECK(may_send(5s, 1, 1));
   CHECK(may_send(3985ms, 2, 1));
-  CHECK_FALSE(may_send(3986ms, 2, 1));  // two ticks and 10 ms before the key is forgotten there
+  CHECK_FALSE(may_send(3986ms, 2, 1));  // two ticks of 2 ms and 10 ms before the window ends
   CHECK_FALSE(may_send(1s, 3, 1));
-  CHECK(may_send(9s, 3, 0));  // nothing before it
+  CHECK(may_send(9s, 3, 0));  // the first attempt cannot repeat another one
   fixture.modules.requests().at(3).attempts[0].may_have_executed = false;
   CHECK(may_send(9s, 3, 1));
   CHECK_FALSE(may_send(1s, 1, 2));  // no such attempt
-  CHECK_FALSE(may_send(1s, 9, 0));  // its client has left, or it was given up
+  CHECK_FALSE(may_send(1s, 9, 0));  // no such request, as after a client disconnect
   worker.status = WorkerStatus::draining;
   CHECK_FALSE(may_send(1s, 1, 1));
   worker.status = WorkerStatus::ready;
-  worker.started_at = 500ms;  // warm after 10 s; its overload window is 1 s
+  worker.started_at = 500ms;  // it warms up for 10 s; the overload window is 1 s
   CHECK(may_send(1250ms, 1, 1));
   CHECK_FALSE(may_send(1251ms, 1, 1));
   CHECK(may_send(10500ms, 1, 1));
 }
 
-TEST_CASE("an attempt at a worker that is no longer known is not sent") {
+TEST_CASE("an attempt is not sent to a worker that has been removed from the endpoint list") {
   Fixture fixture;
   fixture.add_worker(1);
   fixture.add_request(1, 0).attempts.push_back({1, {}, 0, 1s, true, true});
--- a/test/policy/slow_start_test.cpp
+++ b/test/policy/slow_start_test.cpp
@@ -8,7 +8,7 @@
 namespace ironquay {
 namespace {
 
-TEST_CASE("a warming worker's minimum rate is shared by all gateways, whatever their number") {
+TEST_CASE("the minimum slow-start rate is divided among the gateways, however many there are") {
   for (const int gateways : {8, 300}) {
     PolicySettings settings = default_settings();
     settings.gateway_count = gateways;
@@ -21,36 +21,37 @@
   }
 }
 
-TEST_CASE("all gateways together send a warming worker no more than its limit in any window") {
-  // Of 300, those whose subsets hold it: sixteen of 200 workers each, forty attempts per second to each warm
-  // worker.
+TEST_CASE("all gateways together keep to a warming worker's limit in every overload window") {
+  // There are 300 gateways and 200 workers. Each gateway has a subset of 16 workers, so the subsets of 24
+  // gateways contain the warming worker. Each gateway sends 10 attempts per second to warm workers.
   PolicySettings settings = default_settings();
   settings.gateway_count = 300;
   const SlowStart slow_start(settings);
-  const double window = 1;
-  const double warm_rate = 20;
-  const int subsets = 300 * 16 / 200;
-  const SlowStartLoad load{12 * warm_rate / subsets, 16, 200, 200};
+  const double window_seconds = 1;
+  const double warm_rate = 20;  // upper bound of the attempts per second to one warm worker
+  const int subsets_with_worker = 300 * 16 / 200;
+  const SlowStartLoad load{12 * warm_rate / subsets_with_worker, 16, 200, 200};
   for (const double age : {0.5, 1.0, 2.0, 5.0, 9.0}) {
-    double most = 0;
-    double allowed = 0;
+    double max_attempts = 0;
+    double attempt_limit = 0;
     for (int gateway = 0; gateway < 300; ++gateway) {
       Worker worker;
       worker.started_at = worker.budget_updated_at = 1us;
       for (Duration now = 0s; now <= std::chrono::duration<double>(age); now += 100ms) {
-        slow_start.accrue_budget(worker, gateway < subsets, load, now);
+        slow_start.accrue_budget(worker, gateway < subsets_with_worker, load, now);
       }
-      const double warm = 0.2 + 0.8 * age / 10;
-      // What it has saved up is spent, and what accrues meanwhile.
+      const double capacity_share = 0.2 + 0.8 * age / 10;
+      // Within one window the gateway can spend the accumulated budget and what accrues in that window.
       const double budget = worker.slow_start_budget;
-      most += budget < 1 ? 0 : budget + warm * warm_rate / subsets * window;
-      allowed = 4 * warm * warm_rate * window;
+      max_attempts +=
+          budget < 1 ? 0 : budget + capacity_share * warm_rate / subsets_with_worker * window_seconds;
+      attempt_limit = 4 * capacity_share * warm_rate * window_seconds;
     }
-    CHECK(most <= allowed + 3 * std::sqrt(allowed) + 3);
+    CHECK(max_attempts <= attempt_limit + 3 * std::sqrt(attempt_limit) + 3);
   }
 }
 
-TEST_CASE("a warming worker outside the subset does not save up at the subset's rate") {
+TEST_CASE("the budget of a warming worker outside the subset accrues at the minimum rate only") {
   for (const bool in_subset : {true, false}) {
     PolicySettings settings = default_settings();
     settings.gateway_count = 300;
@@ -59,7 +60,7 @@
     for (WorkerId id = 1; id <= 60; ++id) fixture.add_worker(id);
     fixture.add_worker(warming, WorkerStatus::ready, 1us);
     REQUIRE(fixture.modules.workers().warm_count() == 59);
-    // All others are full, so that every draw looks at the warming one.
+    // Attempts can be sent to no other worker, so every draw that contains the warming one tries it.
     for (WorkerId id = 1; id <= 60; ++id) {
       if (id != warming) fixture.modules.workers().at(id).status = WorkerStatus::draining;
     }
@@ -71,7 +72,7 @@
   }
 }
 
-TEST_CASE("a warming worker is sent to only within its budget, in this gateway's turn") {
+TEST_CASE("an attempt is sent to a warming worker only within its budget and in this gateway's time slot") {
   const PolicySettings settings = default_settings();
   const SlowStart slow_start(settings);
   Worker worker;
@@ -84,8 +85,10 @@
   CHECK_FALSE(slow_start.may_send(worker, 400ms));
 }
 
-// Incident on rating-laval: through a release of the workers new ones got ever less, in one turn of nine.
-TEST_CASE("past its first windows a warming worker is open to every gateway within its budget") {
+// Guards against starving new workers during a long release: if time slots applied during the whole warm-up,
+// each gateway would send to a new worker only in its own slot, one of nine there. Seen in the rating-laval
+// incident.
+TEST_CASE("after its first overload windows a warming worker may be used outside the time slot") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1, WorkerStatus::ready, 1us);
   worker.slow_start_budget = 1;
--- a/test/policy/worker_health_test.cpp
+++ b/test/policy/worker_health_test.cpp
@@ -1,4 +1,4 @@
-// What the ends of attempts teach about workers and about the load of the fleet.
+// Tests of how the outcomes of attempts change the limits of workers and the load shed.
 #include <catch2/catch.hpp>
 
 #include "support.hpp"
@@ -6,7 +6,7 @@
 namespace ironquay {
 namespace {
 
-TEST_CASE("a malformed response lowers no limit, three in a row eject the worker") {
+TEST_CASE("a malformed response does not lower the concurrency limit, but three in a row eject the worker") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
   const Request& request = fixture.add_request(1, 0);
@@ -19,9 +19,9 @@
   CHECK(worker.concurrency_limit == Approx(0.125));
 }
 
-// Incidents at full size: hundreds of gateways with one attempt in flight at each worker kept the fleet
-// overloaded.
-TEST_CASE("slow responses shed load, lost ones among quick ones do not") {
+// Guards against a lasting overload of the fleet: hundreds of gateways with one attempt in flight at each
+// worker overload it, although no gateway exceeds its limit at any worker.
+TEST_CASE("slow responses lower the admitted share; lost responses among fast ones do not") {
   Fixture lossy;
   Fixture overloaded;
   Worker& lossy_worker = lossy.add_worker(1);
@@ -38,8 +38,10 @@
   CHECK(overloaded.modules.overload().admitted_share() < 0.1);
 }
 
-// Incident on rating-laval: ten gateways with one attempt in flight each kept every worker overloaded.
-TEST_CASE("three failures eject a worker: after each attempt it is paused for a while") {
+// Guards against gateways that keep a failing worker overloaded although each of them has only one attempt in
+// flight there: a limit below one must pause the worker between attempts. Seen in the rating-laval incident
+// with ten gateways.
+TEST_CASE("three failures in a row eject a worker, which is then paused between attempts") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
   const Request& request = fixture.add_request(1, 0);
@@ -51,8 +53,9 @@
   CHECK(fixture.modules.selector().can_send_to(request, 1, 30s));
 }
 
-// sapporo-main big-1: healthy workers were blamed for the long responses to large requests.
-TEST_CASE("the long response to a large request does not lower a worker's limit") {
+// Guards against reducing the limits of healthy workers because requests of many units take long. Seen on
+// sapporo-main big-1.
+TEST_CASE("the longer latency of a request with more units does not lower the concurrency limit") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
   fixture.modules.route(0).set_mean_units(1);
@@ -65,8 +68,9 @@
   CHECK(worker.concurrency_limit < 4);
 }
 
-// Incident on rating-laval: gateways that stood still for seconds blamed every worker afterwards.
-TEST_CASE("attempts in flight while this process stood still are not held against a worker") {
+// Guards against a gateway process that is suspended for seconds and afterwards counts all its attempts in
+// flight as time-outs of their workers. Seen in the rating-laval incident.
+TEST_CASE("attempts that were in flight while the process was suspended do not lower concurrency limits") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
   const Request& request = fixture.add_request(1, 0);
