--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -152,7 +152,7 @@
 void LoadBalancer::on_request(Duration now, const IncomingRequest& incoming) {
   begin_event(now);
   const RequestId id = incoming.id;
-  Request& request = accept(incoming);
+  Request& request = add_request(incoming);
   QuotaSlice& slice = quota_.slice(request.customer, request.plan, incoming.gateway_spread, now);
   slice.first_gateway = incoming.first_gateway;
   const QuotaVerdict verdict = quota_.check(request, slice, incoming.is_retry, now);
@@ -168,7 +168,7 @@
   apply_rules();
 }
 
-Request& LoadBalancer::accept(const IncomingRequest& incoming) {
+Request& LoadBalancer::add_request(const IncomingRequest& incoming) {
   RouteStatistics& route = routes_[incoming.route];
   route.record_request(incoming.units, incoming.is_retry, incoming.time_left);
   Request& request = requests_.insert(incoming.id);
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -80,6 +80,7 @@
   friend class LoadBalancerPeer;  // gives tests access to the modules
   struct Rule;
 
+  // Sets the current time and detects whether the process was suspended before this event.
   void begin_event(Duration now);
   // Applies the rules until none of their conditions holds. Every event handler that can make a condition
   // true calls it last.
@@ -88,9 +89,9 @@
   void answer_overdue_request();
   // Takes the first pending admission; queues its request, or answers it if it must not be queued.
   void admit_next();
-  // Sends as many queued requests as workers can be found for.
+  // Tries to send the queued requests in order of their rank, until too many of them find no worker.
   void send_queued();
-  // Answers the last request of the queue.
+  // Answers the queued request that would be sent last.
   void shed_excess();
   void poll_endpoints();
   void rebalance_quota();
@@ -98,7 +99,7 @@
   Duration next_timer() const;
 
   // Adds the request to the request table with its deadline and its queue rank.
-  Request& accept(const IncomingRequest& incoming);
+  Request& add_request(const IncomingRequest& incoming);
   // The rank of a request within its quota; see Request::queue_rank.
   double queue_rank(const Request& request) const;
   // Admits the request if it is within its quota or if serving it over quota is profitable. Otherwise answers
@@ -124,7 +125,7 @@
   Effects& effects_;
   Duration now_;
   RandomSource random_;
-  std::vector<RouteStatistics> routes_;
+  std::vector<RouteStatistics> routes_;  // one entry per element of PolicySettings::routes
   RequestTable requests_;
   // Requests that passed the quota check or whose attempt has ended without a final answer.
   std::deque<RequestId> pending_admissions_;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -32,15 +32,15 @@
   if (static_cast<int>(request.attempts.size()) >= capabilities.max_attempts) allowed.send = false;
   if (request.streaming) allowed.send = false;
 
-  const Attempt* executed = first_possibly_executed_attempt(request);
-  if (executed == nullptr) return allowed;
+  const Attempt* possibly_executed = first_possibly_executed_attempt(request);
+  if (possibly_executed == nullptr) return allowed;
   if (route.idempotency == Idempotency::non_idempotent) {
     allowed.send = false;
     allowed.reject = false;
   }
   if (route.idempotency == Idempotency::keyed) {
-    allowed.repeated_attempt = executed;
-    if (now >= dedup_deadline(*executed, route)) allowed.send = false;
+    allowed.repeated_attempt = possibly_executed;
+    if (now >= dedup_deadline(*possibly_executed, route)) allowed.send = false;
     // A client retry may reach a worker outside the deduplication scope, which would execute it again.
     if (route.dedup_scope != DedupScope::all) allowed.reject = false;
   }
@@ -51,10 +51,10 @@
   const Route& route = settings_.routes[request.route];
   if (route.idempotency == Idempotency::idempotent) return true;
   const auto end = request.attempts.begin() + static_cast<std::ptrdiff_t>(attempt);
-  const auto executed = std::find_if(request.attempts.begin(), end,
-                                     [](const Attempt& earlier) { return earlier.may_have_executed; });
-  if (executed == end) return true;
-  return route.idempotency == Idempotency::keyed && now < dedup_deadline(*executed, route);
+  const auto possibly_executed = std::find_if(
+      request.attempts.begin(), end, [](const Attempt& earlier) { return earlier.may_have_executed; });
+  if (possibly_executed == end) return true;
+  return route.idempotency == Idempotency::keyed && now < dedup_deadline(*possibly_executed, route);
 }
 
 bool RetryPolicy::discards_repeat(const Route& route, const Attempt& attempt, const std::string& zone,
--- a/src/policy/route_statistics.hpp
+++ b/src/policy/route_statistics.hpp
@@ -25,7 +25,7 @@
   double unloaded_latency() const { return unloaded_latency_; }
   // Mean units of a request; 0 before the first request.
   double mean_units() const { return mean_units_; }
-  // The longest time left that any client's first attempt of a request had.
+  // The longest time until the client's time-out that the first attempt of any request had on arrival.
   Duration max_first_attempt_timeout() const { return max_first_attempt_timeout_; }
   // Replaces the measured mean; for tests.
   void set_mean_units(double units) { mean_units_ = units; }
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -5,7 +5,7 @@
 namespace ironquay {
 namespace {
 
-// The number of times that a pair of workers is drawn until the attempt can be sent to one of the pair.
+// The maximum number of pairs of workers that are drawn for one attempt.
 constexpr int kMaxDraws = 8;
 // The first draws select from this gateway's subset of the workers, the remaining ones from all ready
 // workers.
--- a/src/policy/worker_selector.hpp
+++ b/src/policy/worker_selector.hpp
@@ -37,7 +37,8 @@
   // Updates the slow-start budget of the worker at the position and returns whether the next attempt can be
   // sent to it.
   bool check_candidate(const Request& request, std::size_t position, Duration now);
-  // Attempts in flight, including the next one, weighted by the worker's latency and capacity.
+  // The worker's attempts in flight, including the next one, scaled by its relative latency and its capacity.
+  // The worker with the lower score is selected.
   double load_score(WorkerId id) const;
   // The ready worker at this position, counted from the first worker of this gateway's subset.
   WorkerId worker_at_position(std::size_t position) const;
--- a/src/policy/worker_subset.cpp
+++ b/src/policy/worker_subset.cpp
@@ -10,8 +10,8 @@
 
 // Even at a gateway that sends few attempts, the subset must have other workers for the retries of a request.
 constexpr double kMinSubsetSize = 4;
-// The initial limit of the attempts in flight at one worker, divided among the gateways whose subsets contain
-// it. It keeps a few cores busy.
+// The initial limit of the attempts that all gateways together have in flight at one worker. It keeps a few
+// cores busy, and is divided among the gateways whose subsets contain the worker.
 constexpr double kInitialFleetLimit = 6;
 // The time constant of the exponential average that send_rate() returns.
 constexpr double kRateWindowSeconds = 2;
--- a/test/policy/endpoint_list_test.cpp
+++ b/test/policy/endpoint_list_test.cpp
@@ -69,7 +69,8 @@
 }
 
 // Guards against hung workers going undetected: with hundreds of gateways that each use all workers, a
-// gateway sends an attempt to a given worker only about once in 30 seconds, too rarely to eject it.
+// gateway sends an attempt to a given worker only about once in 30 seconds, too rarely to detect that it
+// hangs.
 TEST_CASE(
     "a gateway among hundreds uses its worker subset, and all workers if none of the subset is usable") {
   PolicySettings settings = default_settings();
