--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t kMaxEventsPerIteration = 256;
-constexpr Duration kLongestSleep = 1min;
+constexpr Duration kMaxSleep = 1min;
 
 Duration unix_time() {
   return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
@@ -28,8 +28,9 @@
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-// When the system clock is set, the loop's clock runs at half or one and a half times its pace until both
-// agree again. So gateways agree on time, and no timeout is cut short.
+// The loop's clock follows the system clock, so that gateways agree on the time. When the system clock is
+// set, the loop's clock runs at half or one and a half times the normal speed until both agree again. It does
+// not jump, because a jump would make pending timeouts expire early.
 void EventLoop::update_clock(Duration busy) {
   const auto steady_now = std::chrono::steady_clock::now();
   const Duration elapsed = std::chrono::duration_cast<Duration>(steady_now - clock_updated_at_);
@@ -57,7 +58,7 @@
   return token;
 }
 
-// The descriptor itself leaves the epoll set when it is closed.
+// The kernel removes the descriptor from the epoll set when the caller closes it.
 void EventLoop::unwatch(Token token) {
   const auto index = static_cast<std::uint32_t>(token);
   if (index >= slots_.size()) return;
@@ -73,7 +74,7 @@
   if (slot.generation == token >> 32 && slot.handler) slot.handler->on_events(events);
 }
 
-// What is requeued meanwhile waits for the next iteration.
+// Events that handlers requeue during the dispatch are delivered in the next iteration.
 void EventLoop::dispatch_requeued() {
   dispatching_.swap(requeued_);
   for (const RequeuedEvents& requeued : dispatching_) dispatch(requeued.token, requeued.events);
@@ -88,7 +89,8 @@
         epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), epoll_timeout_ms());
     if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
     update_clock(std::chrono::duration_cast<Duration>(busy_time));
-    // Input comes before the timers: after a stall, a response that has arrived is not a timeout.
+    // Input is handled before timers, so that after the process was delayed, a response that has already
+    // arrived is not treated as timed out.
     dispatch_requeued();
     for (int i = 0; i < count; ++i) {
       const epoll_event& event = events[static_cast<std::size_t>(i)];
@@ -99,19 +101,20 @@
   }
 }
 
-// Rounded up to whole milliseconds, as a timer must not fire early; -1 to sleep until an event.
+// Returns the timeout for epoll_wait(), rounded up to whole milliseconds because a timer must not fire early.
+// Without timers it is -1, which waits for an event without a time limit.
 int EventLoop::epoll_timeout_ms() const {
   if (!requeued_.empty()) return 0;
   if (timers_.empty()) return -1;
-  const Duration left = timers_.front()->expires_at_ - now_;
-  const Duration sleep = std::clamp<Duration>(left, 0ms, kLongestSleep);
+  const Duration time_to_expiry = timers_.front()->expires_at_ - now_;
+  const Duration sleep = std::clamp<Duration>(time_to_expiry, 0ms, kMaxSleep);
   return static_cast<int>(std::chrono::ceil<std::chrono::milliseconds>(sleep).count());
 }
 
-// Fires at most as many timers as there were at the start: those that callbacks start for now or earlier wait
-// for the next iteration.
+// Fires the timers that have expired, but at most as many as were active at the start. Timers that callbacks
+// start with a time that is not in the future may have to wait for the next iteration.
 void EventLoop::fire_due_timers() {
-  for (std::size_t left = timers_.size(); left > 0; --left) {
+  for (std::size_t remaining = timers_.size(); remaining > 0; --remaining) {
     if (timers_.empty() || timers_.front()->expires_at_ > now_) return;
     Timer* timer = timers_.front();
     timer->stop();
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,4 +1,4 @@
-// A single-threaded event loop on epoll: descriptors, timers and the clock.
+// A single-threaded event loop based on epoll, with timers and a clock.
 #pragma once
 #include <sys/epoll.h>
 
@@ -18,56 +18,62 @@
 
 class Timer;
 
+// Waits for events of file descriptors and for timers, and calls their handlers. All functions must be called
+// from one thread.
 class EventLoop {
  public:
   // Receives the events of a watched descriptor.
   class Handler {
    public:
     virtual ~Handler() = default;
-    // `events` are epoll's bits, edge-triggered, or kReadToEnd.
+    // `events` contains edge-triggered epoll event bits, or kReadToEnd.
     virtual void on_events(std::uint32_t events) = 0;
   };
 
-  // Passed to Handler::on_events() in place of epoll's bits: read until the descriptor has nothing more, an
-  // end of stream included, although epoll reported no event.
+  // Passed to Handler::on_events() instead of epoll event bits. The handler should read everything that the
+  // descriptor has, including an end of stream, although epoll has reported no event.
   static constexpr std::uint32_t kReadToEnd = 1u << 24;
   static constexpr std::size_t kReadBufferBytes = std::size_t{64} * 1024;
   using ReadBuffer = std::array<char, kReadBufferBytes>;
 
-  // Identifies a watched descriptor. Events that were in flight when it was unwatched reach no handler.
+  // Identifies a watched descriptor. Events that are still queued when it is unwatched are dropped.
   using Token = std::uint64_t;
 
   // Throws std::system_error.
   EventLoop();
 
-  // The time at which the current iteration began: Unix time that is monotonic and never jumps.
+  // The time at which the current iteration began. This is Unix time, adjusted so that it is monotonic and
+  // never jumps.
   Duration now() const { return now_; }
-  // The longest time for which an event of this iteration may have gone unseen: while the iteration before
+  // The maximum time for which an event of this iteration may have been waiting: while the previous iteration
   // was running, or while the process was not scheduled.
   Duration scheduling_delay() const { return scheduling_delay_; }
 
-  // Watches a descriptor for reading, writing and the peer's end, edge-triggered. The handler must outlive
-  // the watch. Throws std::system_error.
+  // Watches a descriptor for input, output and the peer's half-close (edge-triggered). The handler must stay
+  // valid until unwatch(). Throws std::system_error.
   Token watch(int fd, Handler& handler);
-  // Does nothing if the descriptor is not watched any more. Closing the descriptor is the caller's.
+  // Stops the delivery of events. The caller closes the descriptor. Does nothing if the descriptor is no
+  // longer watched.
   void unwatch(Token token);
-  // Delivers the events in the next iteration: the handler stopped before its descriptor had nothing more.
+  // Delivers the events to the handler in the next iteration. Used when a handler stops before it has read
+  // all input.
   void requeue(Token token, std::uint32_t events) { requeued_.push_back({token, events}); }
-  // Destroys the handler at the end of the iteration, as one of its functions may be running now.
+  // Destroys the handler at the end of the iteration, because one of its functions may be on the call stack.
   void destroy_later(std::unique_ptr<Handler> handler) { to_destroy_.push_back(std::move(handler)); }
 
-  // Returns after stop(). Throws std::system_error.
+  // Runs the loop until stop() is called. Throws std::system_error.
   void run();
   // Ends run() at the end of the current iteration.
   void stop() { running_ = false; }
 
-  // A buffer shared by all handlers. Its content is valid until the handler that filled it returns.
+  // A buffer shared by all handlers. Its content is valid only until the handler that filled it returns.
   ReadBuffer& read_buffer() { return *read_buffer_; }
 
  private:
   friend class Timer;
 
-  // Slots are reused; the generation tells the registrations of one slot apart.
+  // A slot holds one watched descriptor's handler and is reused after unwatch(). The generation distinguishes
+  // successive registrations in the same slot.
   struct Slot {
     Handler* handler = nullptr;
     std::uint32_t generation = 0;
@@ -82,20 +88,23 @@
   void update_clock(Duration busy);
   void fire_due_timers();
   int epoll_timeout_ms() const;
-  // Moves the timer at an index of the heap up or down to where its time belongs.
+  // Moves the timer at `index` up or down until the heap is ordered again.
   void restore_heap(std::size_t index);
+  // Stores the timer at `index` of the heap and updates its index.
   void place_in_heap(std::size_t index, Timer* timer);
 
   FileDescriptor epoll_;
   Duration now_{0};
   Duration scheduling_delay_{0};
-  std::chrono::steady_clock::time_point clock_updated_at_;
+  std::chrono::steady_clock::time_point clock_updated_at_;  // when now_ was last updated
   std::vector<Slot> slots_;
   std::vector<std::uint32_t> free_slots_;
   std::vector<RequeuedEvents> requeued_;
-  std::vector<RequeuedEvents> dispatching_;  // empty outside dispatch_requeued(); kept for its memory
+  // The events being dispatched by dispatch_requeued(), otherwise empty. A member so that its memory is
+  // reused.
+  std::vector<RequeuedEvents> dispatching_;
   std::vector<std::unique_ptr<Handler>> to_destroy_;
-  std::vector<Timer*> timers_;  // a binary heap, the earliest first
+  std::vector<Timer*> timers_;  // a binary min-heap, ordered by expiry time
   std::unique_ptr<ReadBuffer> read_buffer_;
   bool running_ = true;
 };
--- a/src/net/file_descriptor.hpp
+++ b/src/net/file_descriptor.hpp
@@ -1,11 +1,11 @@
-// Ownership of a file descriptor.
+// An owning wrapper for a file descriptor.
 #pragma once
 #include <utility>
 
 namespace ironquay::net {
 
-// Closes its descriptor on destruction. Movable, not copyable; empty when default-constructed, moved from, or
-// made from a negative number, which is what failed system calls return.
+// Closes its descriptor on destruction. Movable but not copyable. Empty if it is default-constructed, moved
+// from, or constructed from a negative number, as returned by failed system calls.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -13,14 +13,14 @@
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  // Leaves the previous descriptor to `other`, which closes it.
+  // Swaps the descriptors; `other` closes the previous one when it is destroyed.
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
     std::swap(fd_, other.fd_);
     return *this;
   }
   ~FileDescriptor();
 
-  // The descriptor, -1 when empty. Ownership stays here.
+  // The descriptor, or -1 if empty. Ownership is not transferred.
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
 
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -15,13 +15,13 @@
 constexpr std::size_t kWordsWithBody = 5;
 constexpr std::size_t kCustomerDigits = 16;
 constexpr int kCustomerBase = 16;
-// Far longer than any id in use.
+// In bytes; far longer than the ids that clients use.
 constexpr std::size_t kMaxRequestIdLength = 64;
-// One hour, longer than any client waits.
+// One hour; clients use shorter timeouts.
 constexpr double kMaxTimeoutMs = 3.6e6;
 constexpr double kMicrosecondsPerMs = 1000;
 
-// The fields of the attribute list, as text.
+// The fields of the attribute list, not parsed yet. Absent fields keep the values below.
 struct Attributes {
   std::string_view route;
   std::string_view plan;
@@ -37,7 +37,8 @@
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
-// Parses the whole text. An integer's base may follow.
+// Returns whether the whole of `text` is a number, which is stored in `value`. For an integer, its base may
+// be passed as a further argument.
 template <typename Number, typename... Base>
 bool parse_number(std::string_view text, Number& value, Base... base) {
   const char* last = text.data() + text.size();
@@ -46,8 +47,8 @@
 }
 
 bool is_customer(std::string_view text) {
-  std::uint64_t ignored = 0;
-  return text.size() == kCustomerDigits && parse_number(text, ignored, kCustomerBase);
+  std::uint64_t ignored_value = 0;
+  return text.size() == kCustomerDigits && parse_number(text, ignored_value, kCustomerBase);
 }
 
 bool is_request_id(std::string_view text) {
@@ -103,7 +104,7 @@
                                          RequestMessage& request) {
   double timeout_ms = 0;
   const bool is_number = parse_number(attributes.timeout_ms, timeout_ms);
-  // Written so that it rejects a NaN.
+  // The comparison is negated so that NaN is rejected as well.
   if (!is_number || !(std::abs(timeout_ms) <= kMaxTimeoutMs)) return RequestError::invalid_timeout;
   const Duration timeout(std::llround(timeout_ms * kMicrosecondsPerMs));
   request.timeout = std::min(timeout, settings.policy_settings.routes[request.route].client_timeout);
@@ -118,6 +119,7 @@
   return std::nullopt;
 }
 
+// Reads the customer's gateways and checks that this gateway is one of them.
 std::optional<RequestError> read_gateways(const Attributes& attributes, const PolicySettings& settings,
                                           RequestMessage& request) {
   const int gateways = std::max(1, settings.gateway_count);
--- a/src/net/request_parser.hpp
+++ b/src/net/request_parser.hpp
@@ -1,4 +1,4 @@
-// Parses the commands of clients. The names on the wire occur only here.
+// Parses client commands. The names of commands and fields on the wire occur only in this module.
 #pragma once
 #include <string_view>
 #include <variant>
@@ -11,20 +11,22 @@
 namespace ironquay::net {
 
 enum class CommandType {
-  idempotent_request,
-  other_request,
+  idempotent_request,  // CALL.GET: a request on an idempotent route
+  other_request,       // CALL.POST: a request on a keyed or non-idempotent route
   ping,
-  session,  // sets up a session, of which there is nothing here
+  session,  // CLIENT or SELECT: session setup, which is acknowledged and otherwise ignored
   quit,
   unknown,
 };
 
-// The type of a command by its first word, in any case.
+// Returns the type of the command with this name. Upper and lower case are equivalent.
 CommandType command_type(std::string_view name);
 
+// The request, or the first error found in it.
 using RequestParseResult = std::variant<RequestMessage, RequestError>;
 
-// Parses a command whose type is one of the requests, and validates it against the settings.
+// Parses a command of type `idempotent_request` or `other_request` and validates it against the settings. The
+// views in the result point into the buffer that `command` points into.
 RequestParseResult parse_request(const resp::Command& command, CommandType type,
                                  const DecodedSettings& settings);
 
--- a/src/net/request_registry.hpp
+++ b/src/net/request_registry.hpp
@@ -1,4 +1,4 @@
-// The commands of all client connections that wait for their responses.
+// The commands of all client connections whose responses are not written yet.
 #pragma once
 #include <cstddef>
 #include <memory>
@@ -10,9 +10,9 @@
 
 class ClientRequest;
 
-// Counts the commands and finds the open requests by the ids that their clients gave them. The connections
-// own the requests; a finished one is kept here until release_finished(), as its functions may still be
-// running.
+// Counts the pending commands, and finds open requests by the ids that clients assigned to them. Connections
+// own their requests. When a request is finished, the registry takes ownership until release_finished(),
+// because functions of the request may still be on the call stack.
 class RequestRegistry {
  public:
   RequestRegistry();
@@ -20,20 +20,24 @@
   RequestRegistry(const RequestRegistry&) = delete;
   RequestRegistry& operator=(const RequestRegistry&) = delete;
 
-  // The commands without a response that has been passed to the connection's stream, invalid ones included.
+  // The number of commands, including invalid ones, whose response has not been passed to the connection's
+  // stream yet.
   std::size_t pending() const { return pending_; }
   void on_enqueued() { ++pending_; }
+  // Counts the command as no longer pending, and takes ownership of it until release_finished().
   void finish(std::unique_ptr<ClientRequest> request);
+  // Destroys the finished requests. Must not be called from within a function of a request.
   void release_finished();
 
-  // The request must own its buffers. Does nothing if its id is registered.
+  // Makes the request available to find(). The request must own its buffers. Does nothing if a request with
+  // this id is registered already.
   void register_id(ClientRequest& request);
   void unregister_id(std::string_view client_request_id) { by_client_id_.erase(client_request_id); }
-  // Null if there is none.
+  // Returns the open request with this id, or null if there is none.
   ClientRequest* find(std::string_view client_request_id) const;
 
  private:
-  std::size_t pending_ = 0;
+  std::size_t pending_ = 0;                                            // commands
   std::unordered_map<std::string_view, ClientRequest*> by_client_id_;  // the keys point into the requests
   std::vector<std::unique_ptr<ClientRequest>> finished_;
 };
--- a/src/net/resp.hpp
+++ b/src/net/resp.hpp
@@ -1,6 +1,6 @@
-// Parsing and writing of RESP2, as far as the gateway's protocols use it.
+// Parsing and writing of RESP2, limited to what the gateway's protocols use.
 //
-// The parsers take bytes that may not be complete yet. Their results are views into those bytes.
+// The input of the parsers may end in the middle of a message. Their results contain views into the input.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -12,51 +12,53 @@
 
 enum class ParseStatus {
   complete,
-  incomplete,  // parse again once there are more bytes
-  malformed,   // no further bytes can make it valid
+  incomplete,  // parse again when more bytes have arrived
+  malformed,   // further bytes cannot make the message valid
 };
 
-// The longest value in a command. In a reply, callers may allow more.
+// The maximum length of a word in a command, and the default for values in a reply.
 constexpr std::size_t kMaxValueBytes = std::size_t{64} * 1024;
-constexpr std::size_t kMaxWords = 16;
+constexpr std::size_t kMaxWords = 16;  // words in a command
+// The maximum length of a line.
 constexpr std::size_t kMaxLineBytes = 4096;
-// A command has one long word by the protocol, and the others together are shorter than a line.
+// By the protocol, a command has one long word, and the other words together are shorter than a line.
 constexpr std::size_t kMaxCommandBytes = kMaxValueBytes + kMaxLineBytes;
 
-// An array of bulk strings.
+// A command: an array of bulk strings.
 struct Command {
   std::array<std::string_view, kMaxWords> words;
   std::size_t word_count = 0;  // at least one
-  std::size_t wire_bytes = 0;
+  std::size_t wire_bytes = 0;  // the size of the command on the wire
 };
 
-// Parses the command at the start of `bytes`. `command` is valid only if the result is complete.
+// Parses the command at the start of `bytes`. `command` is valid only if the result is `complete`.
 ParseStatus parse_command(std::string_view bytes, Command& command);
 
-// An element of an array.
+// An element of an array in a reply.
 struct Element {
   std::string_view text;
-  std::string_view raw;  // as it is on the wire
+  std::string_view raw;  // the element in wire format
   bool is_null = false;
 };
 
 struct Reply {
   char type = 0;          // the first byte on the wire: + - : $ *
-  std::string_view text;  // of every type but an array
+  std::string_view text;  // the value, unless the reply is an array
   bool is_null = false;
-  std::array<Element, 4> elements;  // of an array; the first is a bulk string, the others may be lines
-  std::size_t element_count = 0;    // of those that could be parsed
-  // An element behind the first is malformed. So what follows on the connection cannot be parsed either.
+  // The elements, if the reply is an array. The first one is a bulk string, the others may be lines.
+  std::array<Element, 4> elements;
+  std::size_t element_count = 0;  // the number of elements that have been parsed
+  // An element after the first is malformed, so nothing further on the connection can be parsed.
   bool trailing_malformed = false;
-  std::size_t wire_bytes = 0;
+  std::size_t wire_bytes = 0;  // the size of the parsed part of the reply on the wire
 };
 
-// Parses the reply at the start of `bytes`. If the result is incomplete, `reply` has the elements that are
-// complete. An element of more than `max_value_bytes` is malformed.
+// Parses the reply at the start of `bytes`. If the result is `incomplete`, `reply` contains the elements that
+// are complete. A bulk string of more than `max_value_bytes` is malformed.
 ParseStatus parse_reply(std::string_view bytes, Reply& reply, std::size_t max_value_bytes = kMaxValueBytes);
 
-// Calls visit(name, value) for each field of a list such as "used=37,cost=4", in order. Entries without "="
-// are skipped.
+// Calls visit(name, value) for each field of a list such as "used=37,cost=4", in order. Skips entries without
+// "=".
 template <typename Visit>
 void for_each_field(std::string_view list, Visit visit) {
   while (!list.empty()) {
@@ -67,11 +69,12 @@
   }
 }
 
-// The value of the last field of that name; empty if there is none.
+// Returns the value of the last field with this name; empty if there is none.
 std::string_view find_field(std::string_view list, std::string_view name);
 
+// Appends `text` as a bulk string.
 void append_bulk_string(std::string& out, std::string_view text);
-// The header of an array of `elements` elements, which the caller appends.
+// Appends the header of an array with `elements` elements. The caller appends the elements.
 void append_array_header(std::string& out, std::size_t elements);
 
 }  // namespace ironquay::net::resp
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -14,11 +14,12 @@
 
 using namespace std::chrono_literals;
 
-// At startup the previous process, which is about to exit, may still own the address.
+// When the gateway starts, the previous process may still hold the address until it exits.
 constexpr std::chrono::milliseconds kBindTimeout = 5000ms;
 constexpr std::chrono::milliseconds kBindRetryInterval = 20ms;
 
-// Longer than any client waits: a client that vanished while a response was in transit is detected by it.
+// How long the system waits for an acknowledgement of sent data before it closes the connection. This detects
+// a client that became unreachable while a response was in transit; client timeouts are shorter.
 constexpr unsigned kTcpUserTimeoutMs = 20'000;
 
 void disable_nagle(const FileDescriptor& socket) {
@@ -33,11 +34,11 @@
 }
 
 bool bind_with_retry(const FileDescriptor& socket, const Address& address) {
-  auto waited = kBindRetryInterval;
+  auto total_wait = kBindRetryInterval;
   while (bind(socket.get(), as_sockaddr(address), sizeof address) != 0) {
-    if (errno != EADDRINUSE || waited > kBindTimeout) return false;
+    if (errno != EADDRINUSE || total_wait > kBindTimeout) return false;
     std::this_thread::sleep_for(kBindRetryInterval);
-    waited += kBindRetryInterval;
+    total_wait += kBindRetryInterval;
   }
   return true;
 }
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -29,8 +29,9 @@
   return connected_;
 }
 
-// All bytes that are unread: in the loop's buffer, or appended to those of earlier reads. A short read shows
-// that the system had no more; what comes later, an end of stream included, is a new event.
+// Reads once and returns all unconsumed bytes. They are in the loop's buffer, or in `unread_` if earlier
+// reads left some. A short read shows that the system had no more bytes; bytes or an end of stream that
+// arrive later raise a new event.
 std::string_view TcpStream::receive() {
   EventLoop::ReadBuffer& buffer = loop_.read_buffer();
   const ssize_t received = recv(socket_.get(), buffer.data(), buffer.size(), 0);
@@ -44,7 +45,8 @@
   return unread_;
 }
 
-// An idle stream holds no memory.
+// Buffers the bytes that were not consumed. An empty buffer is deallocated, so that an idle stream holds no
+// memory.
 void TcpStream::retain_unconsumed(std::string_view bytes, std::size_t consumed) {
   if (consumed == bytes.size()) {
     unread_ = std::string();
@@ -66,13 +68,13 @@
   }
 }
 
-// The number of bytes that the system accepted; none if it failed.
+// Returns the number of bytes that the system accepted; zero if the call failed.
 std::size_t TcpStream::send_now(std::initializer_list<std::string_view> parts) {
-  std::array<iovec, kMaxWriteParts> pieces{};
+  std::array<iovec, kMaxWriteParts> buffers{};
   std::size_t count = 0;
-  for (const std::string_view part : parts) pieces[count++] = {const_cast<char*>(part.data()), part.size()};
+  for (const std::string_view part : parts) buffers[count++] = {const_cast<char*>(part.data()), part.size()};
   msghdr message{};
-  message.msg_iov = pieces.data();
+  message.msg_iov = buffers.data();
   message.msg_iovlen = count;
   const ssize_t sent = sendmsg(socket_.get(), &message, MSG_NOSIGNAL);
   return sent > 0 ? static_cast<std::size_t>(sent) : 0;
@@ -95,7 +97,8 @@
   if (!paused_) return;
   paused_ = false;
   resumed_ = true;
-  // Bytes or an end of stream may have arrived while paused, with their events already delivered.
+  // Bytes or an end of stream may have arrived while the stream was paused, and their events have already
+  // been delivered.
   schedule_read();
 }
 
--- a/src/net/tcp_stream.hpp
+++ b/src/net/tcp_stream.hpp
@@ -1,4 +1,4 @@
-// The byte streams of one TCP connection, with their buffers.
+// One TCP connection as a pair of byte streams with buffers.
 #pragma once
 #include <cstdint>
 #include <initializer_list>
@@ -11,30 +11,33 @@
 
 namespace ironquay::net {
 
-// How a connection has ended.
+// How a connection ended.
 enum class ConnectionEnd {
-  none,            // it has not
-  peer_closed,     // end of stream
-  reset,           // a socket error, or it could not be established
-  closed_locally,  // by TcpStream::close()
+  none,            // it has not ended
+  peer_closed,     // the peer closed its side (end of stream)
+  reset,           // a socket error, or the connection could not be established
+  closed_locally,  // TcpStream::close() was called
 };
 
+// Reads and writes without blocking. Bytes that the owner has not consumed, or that the system has not
+// accepted, are buffered.
 class TcpStream {
  public:
-  // `connected` is false for a socket whose connect is in progress. The owner receives the socket's events,
-  // and calls make_progress() and then read() for each.
+  // `connected` is false for a socket whose connect is in progress. `owner` receives the socket's events; for
+  // each event it calls make_progress() and then read(). The loop and the owner must outlive the stream.
   TcpStream(EventLoop& loop, FileDescriptor socket, EventLoop::Handler& owner, bool connected);
   ~TcpStream() { loop_.unwatch(token_); }
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
 
-  // Completes a connect in progress and writes what is buffered. Returns connected(); while that is false,
-  // connection_end() tells whether the connect has failed.
+  // Completes a connect in progress and writes buffered bytes. Returns connected(). While that is false,
+  // connection_end() shows whether the connect has failed.
   bool make_progress(std::uint32_t events);
 
-  // Reads until the socket has nothing more or other connections deserve their turn, and passes all bytes
-  // that are unread to `consume`: std::size_t(std::string_view), which returns how many of them it has
-  // consumed. The rest is buffered and passed again with more behind it.
+  // Reads until the socket has no more bytes, and passes all unconsumed bytes to `consume`. Stops earlier
+  // after kMaxReadsPerEvent reads, so that other connections are served, and continues in the next iteration
+  // of the loop. `consume` has the signature std::size_t(std::string_view) and returns how many bytes it has
+  // consumed. The other bytes are buffered and passed again, followed by those that arrive later.
   template <typename Consume>
   void read(std::uint32_t events, Consume consume) {
     if (std::exchange(resumed_, false) && !unread_.empty())
@@ -49,39 +52,42 @@
     }
   }
 
-  // Writes what the system accepts and buffers the rest. At most kMaxWriteParts parts. A failure is reported
-  // by the socket's next event.
+  // Writes as many bytes as the system accepts and buffers the rest. There may be at most kMaxWriteParts
+  // parts. A failure is reported by the socket's next event.
   void write(std::initializer_list<std::string_view> parts);
-  // Stops reading, for backpressure on the peer, until resume().
+  // Stops reading until resume(), which applies backpressure to the peer.
   void pause() { paused_ = true; }
   void resume();
   bool paused() const { return paused_; }
-  // Has the owner read in the next iteration, whether or not an event comes.
+  // Makes the loop call the owner with EventLoop::kReadToEnd in the next iteration, whether or not there is
+  // an event.
   void schedule_read() { loop_.requeue(token_, EventLoop::kReadToEnd); }
-  // Half-closes the connection: the peer sees the end of stream.
+  // Half-closes the connection: the peer receives the end of stream.
   void shutdown_write();
   void discard_unread() { unread_ = std::string(); }
   void discard_unwritten() { unwritten_ = std::string(); }
-  // Closes the socket at once. Bytes passed to `consume` stay valid until the owner's handler returns.
+  // Closes the socket immediately. Bytes passed to `consume` stay valid until the owner's handler returns.
   void close();
 
   bool connected() const { return connected_; }
   ConnectionEnd connection_end() const { return end_; }
-  // Whether the connection has ended, or the event says that it is broken though not all may have been read.
+  // Whether the connection has ended. This includes an event that reports an error or hang-up, even if unread
+  // bytes may remain.
   bool has_ended(std::uint32_t events) const;
   bool all_written() const { return unwritten_.empty(); }
   std::size_t unwritten_bytes() const { return unwritten_.size(); }
   std::string_view unread() const { return unread_; }
-  // Whether the last read took all that the system had, as far as its result shows.
+  // Whether the last read returned fewer bytes than requested, which shows that the system had no more.
   bool receive_buffer_drained() const { return receive_buffer_drained_; }
-  // Whether the system has neither bytes nor an end of stream to read. A system call.
+  // Whether the system has neither bytes nor an end of stream to read. Makes a system call.
   bool nothing_to_read() const;
-  // Whether the system has an end of stream or an error, and no bytes before it. A system call.
+  // Whether the next read would return the end of stream or an error. Makes a system call.
   bool peer_has_disconnected() const;
 
  private:
   static constexpr std::size_t kMaxWriteParts = 8;
-  // Sixteen full buffers are more than any message; a longer sender yields to the other connections.
+  // In one event, a connection may fill the read buffer this many times, which is more than the largest
+  // message.
   static constexpr int kMaxReadsPerEvent = 16;
 
   bool is_readable() const { return end_ == ConnectionEnd::none && !paused_; }
@@ -93,12 +99,12 @@
   EventLoop& loop_;
   FileDescriptor socket_;
   EventLoop::Token token_;
-  std::string unread_;     // received, not consumed
-  std::string unwritten_;  // waiting for the system to accept it
+  std::string unread_;     // received bytes that the owner has not consumed
+  std::string unwritten_;  // bytes that the system has not accepted yet
   bool connected_;
   bool receive_buffer_drained_ = false;
   bool paused_ = false;
-  bool resumed_ = false;  // since the last read()
+  bool resumed_ = false;  // resume() was called after the last read()
   ConnectionEnd end_ = ConnectionEnd::none;
 };
 
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -15,12 +15,12 @@
 
 void Timer::stop() {
   if (heap_index_ == kNotInHeap) return;
-  const std::size_t vacated = std::exchange(heap_index_, kNotInHeap);
+  const std::size_t vacated_index = std::exchange(heap_index_, kNotInHeap);
   Timer* last = loop_.timers_.back();
   loop_.timers_.pop_back();
   if (last == this) return;
-  loop_.place_in_heap(vacated, last);
-  loop_.restore_heap(vacated);
+  loop_.place_in_heap(vacated_index, last);
+  loop_.restore_heap(vacated_index);
 }
 
 }  // namespace ironquay::net
--- a/src/net/timer.hpp
+++ b/src/net/timer.hpp
@@ -1,4 +1,4 @@
-// A timer of an event loop.
+// A one-shot timer on an event loop.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -8,7 +8,8 @@
 
 namespace ironquay::net {
 
-// Calls its callback once for each time it was started. Not movable: the loop refers to it.
+// Calls its callback once when it expires. The event loop must outlive the timer. Not movable, because the
+// loop holds a pointer to it.
 class Timer {
  public:
   Timer(EventLoop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
@@ -16,14 +17,14 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  // Starts or restarts the timer. It never fires before that time of EventLoop::now().
+  // Starts or restarts the timer. It does not fire before EventLoop::now() reaches `when`.
   void expire_at(Duration when);
   void expire_after(Duration delay) { expire_at(loop_.now() + delay); }
-  // Does nothing if the timer is not active.
+  // Cancels the timer. Does nothing if it is not active.
   void stop();
-  // Whether it was started and has neither fired nor been stopped since.
+  // Whether the timer has been started and has neither fired nor been stopped since.
   bool is_active() const { return heap_index_ != kNotInHeap; }
-  // The time for which it was last started.
+  // The expiry time with which the timer was last started.
   Duration expires_at() const { return expires_at_; }
 
  private:
@@ -33,7 +34,7 @@
   EventLoop& loop_;
   std::function<void()> callback_;
   Duration expires_at_{0};
-  std::size_t heap_index_ = kNotInHeap;  // in EventLoop::timers_
+  std::size_t heap_index_ = kNotInHeap;  // index in EventLoop::timers_
 };
 
 }  // namespace ironquay::net
--- a/test/net/client_connection_test.cpp
+++ b/test/net/client_connection_test.cpp
@@ -1,5 +1,5 @@
-// Client connections: request syntax, response order, errors, duplicate ids and slow readers.
-// One case runs the Frontend alone on the test's event loop.
+// Client connections: request syntax, response order, errors, duplicate ids and slow readers. Most cases run
+// the gateway as a process. One case runs only its Frontend, on an event loop in the test.
 #include "support/deployment.hpp"
 #include "support/frontend_fixture.hpp"
 
@@ -9,8 +9,8 @@
 TEST_CASE("a request received byte by byte is forwarded unchanged except for its timeout") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
-  const std::string marks = "c=order,t=team,d=900,k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0,new=7";
-  client.send_byte_by_byte(resp_array({"CALL.POST", kCustomer, "9b1f03aa5c7e2d41", marks, "a\r\nb"}));
+  const std::string attributes = "c=order,t=team,d=900,k=5c0f6e1a2b3d4c59,units=2,spread=1,first=0,new=7";
+  client.send_byte_by_byte(resp_array({"CALL.POST", kCustomer, "9b1f03aa5c7e2d41", attributes, "a\r\nb"}));
   TestConnection worker = deployment.next_attempt().connection;
   const std::string forwarded = worker.receive_command();
   const std::string head = "CALL.POST 00000000b4d65521 9b1f03aa5c7e2d41 c=order,t=team,d=";
@@ -24,13 +24,13 @@
   REQUIRE(client.receives(bulk_string("ok")));
 }
 
-TEST_CASE("responses are sent in the order of the requests") {
+TEST_CASE("responses are sent in the order of their requests") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1") + lookup_request("2") + kPing);
   TestConnection first = deployment.next_attempt().connection;
   TestConnection second = deployment.next_attempt().connection;
-  // The workers' connections may be accepted in either order.
+  // The two attempts may arrive in either order.
   if (first.receive_command().find(" 1 ") == std::string::npos) std::swap(first, second);
   second.send(worker_reply("two"));
   REQUIRE(client.receives_nothing_for(50ms));
@@ -38,7 +38,7 @@
   REQUIRE(client.receives(bulk_string("one") + bulk_string("two") + kPong));
 }
 
-TEST_CASE("malformed input closes the connection after the responses to earlier requests") {
+TEST_CASE("malformed input closes the connection after responses to earlier requests are sent") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1") + "CALL.GET inline\r\n" + lookup_request("2"));
@@ -57,7 +57,7 @@
   REQUIRE(deployment.no_attempt_for(20ms));
 }
 
-TEST_CASE("an invalid request is answered with an error and the connection stays usable") {
+TEST_CASE("an invalid request receives an error and the connection stays usable") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   const std::string_view customer = kCustomer;
@@ -88,7 +88,7 @@
   REQUIRE(client.receives(kPong));
 }
 
-TEST_CASE("a duplicate id is refused while its request is in flight, and that request keeps its response") {
+TEST_CASE("a request with the id of a request in flight is rejected without affecting that request") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client(), other = deployment.ready_client();
   client.send(pay_request("1"));
@@ -98,38 +98,38 @@
   worker.answer_command(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v")));
   std::this_thread::sleep_for(kReuseDelay);
-  // The request is no longer in flight, so its id is free again; the worker may still refuse it.
+  // The first request is complete, so the gateway forwards the second one. The worker then rejects it.
   other.send(pay_request("1"));
   worker.answer_command("-ERR bad request\r\n");
   REQUIRE(other.receives(kFailed));
 }
 
-TEST_CASE("a client that does not read delays only itself and gets every response in the end") {
+TEST_CASE("a client that does not read its responses delays no other client and loses no response") {
   Deployment deployment(1);
   TestConnection slow = deployment.ready_client(), other = deployment.ready_client();
   const std::string value(60000, 'x');
   TestConnection worker;
-  int responses = 0;  // not read by the client
+  int unread_responses = 0;
   for (bool forwarded = true; forwarded;) {
-    REQUIRE(responses < 1000);  // the gateway does not buffer 60 MB for one client
-    slow.send(lookup_request(std::to_string(responses)));
-    if (responses == 0) worker = deployment.next_attempt().connection;
+    REQUIRE(unread_responses < 1000);  // the gateway must not buffer 60 MB for one client
+    slow.send(lookup_request(std::to_string(unread_responses)));
+    if (unread_responses == 0) worker = deployment.next_attempt().connection;
     worker.answer_command(worker_reply(value));
-    ++responses;
+    ++unread_responses;
     other.send(kPing);
     REQUIRE(other.receives(kPong));
     slow.send(lookup_request("next"));
     forwarded = readable(worker.fd(), 200ms);
     if (!forwarded) break;
     worker.answer_command(worker_reply(value));
-    ++responses;
+    ++unread_responses;
   }
-  for (int i = 0; i < responses; ++i) REQUIRE(slow.receives(bulk_string(value)));
+  for (int i = 0; i < unread_responses; ++i) REQUIRE(slow.receives(bulk_string(value)));
   REQUIRE_THAT(worker.receive_command(), Contains(" next "));
 }
 
-TEST_CASE("time that a request may have waited unread is deducted from its time left") {
-  constexpr std::size_t kMaxInFlight = 1024;  // of one connection
+TEST_CASE("the time for which a request may have waited unread is deducted from its timeout") {
+  constexpr std::size_t kMaxInFlight = 1024;  // requests per connection before the gateway stops reading
   FrontendFixture front;
   std::vector<Exchange*> exchanges;
   front.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
@@ -139,11 +139,11 @@
   client.send(requests);
   REQUIRE(front.run_until_requests(kMaxInFlight));
   front.run_for(600ms);
-  REQUIRE(front.requests == kMaxInFlight);
+  REQUIRE(front.request_count == kMaxInFlight);
   for (std::size_t i = 0; i < 600; ++i) exchanges[i]->reject(0ms);
   REQUIRE(front.run_until_requests(kMaxInFlight + 1));
-  REQUIRE(front.times_left.front() > 900ms);
-  REQUIRE(front.times_left.back() <= 900ms);
+  REQUIRE(front.received_time_left.front() > 900ms);
+  REQUIRE(front.received_time_left.back() <= 900ms);
 }
 
 }  // namespace
--- a/test/net/client_disconnect_test.cpp
+++ b/test/net/client_disconnect_test.cpp
@@ -1,14 +1,15 @@
-// Clients that disconnect before their requests are answered.
-// Rare orders of events are forced: the gateway is paused while they are put in place, or the Frontend runs
-// alone on the test's event loop. docs/incidents/rare-faults.md describes the faults that these cases guard
-// against.
+// Clients that disconnect before their requests are answered. The cases guard against requests that continue
+// after their client has disconnected, and against errors for clients that reconnect and retry. Both depend
+// on the order in which the gateway reads events from several connections. The tests force that order: they
+// send the events while the gateway process is paused (SIGSTOP), or run only the Frontend on an event loop in
+// the test. See also docs/incidents/rare-faults.md.
 #include "support/deployment.hpp"
 #include "support/frontend_fixture.hpp"
 
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("a client that disconnects cancels its attempt") {
+TEST_CASE("the attempt of a request is cancelled when its client disconnects") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
@@ -20,7 +21,7 @@
   REQUIRE(deployment.gateway.logs("reason=client-closed"));
 }
 
-TEST_CASE("a listener may answer one request of a disconnected client while it is notified of another") {
+TEST_CASE("a listener may respond to one request of a disconnected client while it is notified of another") {
   FrontendFixture front;
   std::vector<Exchange*> exchanges;
   front.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
@@ -29,20 +30,20 @@
   client.send(lookup_request("1") + lookup_request("2") + lookup_request("3"));
   REQUIRE(front.run_until_requests(3));
   client.close();
-  REQUIRE(front.run_until([&] { return front.clients_left == 2; }));
+  REQUIRE(front.run_until([&] { return front.disconnect_count == 2; }));
   TestConnection reconnected = front.connect();
   reconnected.send(lookup_request("1") + lookup_request("2"));
   REQUIRE(front.run_until_requests(5));
-  REQUIRE(front.clients_left == 2);
+  REQUIRE(front.disconnect_count == 2);
 }
 
-TEST_CASE("a client that disconnects while reading from it is paused cancels all its requests") {
+TEST_CASE("all requests of a client are cancelled when it disconnects while the gateway has paused reading") {
   Deployment deployment(1);
   deployment.config["settings"]["bounds"]["open_cap"] = 10000;
   TestConnection client = deployment.ready_client();
   std::string requests;
   for (int i = 0; i < 1100; ++i) requests += small_plan_lookup(std::to_string(i));
-  TestConnection counter = deployment.counter.accept();  // never replies, so that the requests wait
+  TestConnection counter = deployment.counter.accept();  // never replies, so all requests stay pending
   deployment.gateway.pause();
   client.send(requests);
   deployment.gateway.resume();
@@ -51,7 +52,7 @@
   REQUIRE(deployment.gateway.logs("reason=client-closed commands=1025"));
 }
 
-TEST_CASE("a client that reconnects with the same request is served before its old connection is closed") {
+TEST_CASE("a client that reconnects and retries is served even if the retry is read before the disconnect") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client(), reconnected = deployment.ready_client();
   TestConnection counter = deployment.counter.accept();
@@ -62,11 +63,11 @@
   reconnected.send(request);
   client.close();
   deployment.gateway.resume();
-  // No worker and no counter replies, so the response may be a rejection, but no error.
+  // No worker or counter replies, so the response may be a rejection, but it must not be an error.
   REQUIRE_THAT(reconnected.receive_line(), !StartsWith("-ERR") && EndsWith("\r\n"));
 }
 
-TEST_CASE("a forwarded non-idempotent request is refused when a client reconnects with it") {
+TEST_CASE("a retry of a forwarded non-idempotent request is rejected when its client reconnects") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client(), reconnected = deployment.ready_client();
   client.send(pay_request("2"));
@@ -90,7 +91,7 @@
     clients[i].send(small_plan_lookup("id" + std::to_string(i), 8, 8000));
   for (std::size_t i = 0; i < kClients; ++i) REQUIRE_THAT(counter.receive_command(), StartsWith("CNT.ADD"));
   deployment.gateway.pause();
-  for (std::size_t i = 0; i + 1 < kClients; ++i) clients[i].close();  // only the last one stays
+  for (std::size_t i = 0; i + 1 < kClients; ++i) clients[i].close();  // all but the last client
   std::string totals;
   for (std::size_t i = 0; i < kClients; ++i) totals += bulk_string("1");
   counter.send(totals);
--- a/test/net/client_half_close_test.cpp
+++ b/test/net/client_half_close_test.cpp
@@ -1,68 +1,69 @@
-// How the gateway closes client connections: a half-close, after which it still reads for a while, so that a
-// request that was under way is discarded and not met by a reset.
-// docs/incidents/rare-faults.md describes the fault that these cases guard against.
+// How the gateway closes client connections: it half-closes them and continues to read for a limited time.
+// The cases guard against closing a socket while a request is in transit to it: the system then resets the
+// connection, and the client may lose responses that it has not read. See also docs/incidents/rare-faults.md.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
 namespace {
 
-/// Waits for the gateway to close `client`, sends a request on it at once, and checks that it is neither
-/// reset nor forwarded. `last_open` is a time at which the connection was open, `linger` the time that the
-/// gateway goes on reading. Returns false where the machine was so slow that this time may have been over,
-/// which proves nothing.
+/// Waits until the gateway half-closes `client`, then immediately sends a request, and checks that the
+/// connection is not reset and the request is not forwarded. `last_open` is a time at which the connection
+/// was still open. `linger_time` is the time for which the gateway reads after the half-close. Returns false,
+/// without a check, if the machine was so slow that this time may already have passed when the request was
+/// sent.
 bool late_request_is_not_reset(Deployment& deployment, TestConnection& client, Clock::time_point last_open,
-                               Milliseconds linger) {
-  const auto give_up = Clock::now() + kWaitTimeout;
-  while (Clock::now() < give_up && !readable(client.fd(), 5ms)) last_open = Clock::now();
+                               Milliseconds linger_time) {
+  const auto wait_deadline = Clock::now() + kWaitTimeout;
+  while (Clock::now() < wait_deadline && !readable(client.fd(), 5ms)) last_open = Clock::now();
   REQUIRE(client.reaches_end());
   client.send(lookup_request("late"));
   const bool broken = client.is_broken();
-  if (Clock::now() - last_open > linger) return false;
+  if (Clock::now() - last_open > linger_time) return false;
   REQUIRE_FALSE(broken);
   REQUIRE(deployment.no_attempt_for(30ms));
   return true;
 }
 
-TEST_CASE("a request that arrives while its connection is being closed is not reset, whatever the reason") {
-  constexpr Milliseconds kLinger = 900ms;      // of 1 s
-  constexpr Milliseconds kShortLinger = 45ms;  // of 50 ms, where descriptors are short
-  SECTION("inactive") {
+TEST_CASE("a request that arrives while its connection is being closed does not cause a reset") {
+  constexpr Milliseconds kLingerTime = 900ms;      // the gateway lingers for 1 s
+  constexpr Milliseconds kShortLingerTime = 45ms;  // 50 ms when descriptors run short
+  SECTION("no command") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
       TestConnection ready = deployment.ready_client(), inactive = deployment.connect();
-      return late_request_is_not_reset(deployment, inactive, Clock::now(), kLinger);
+      return late_request_is_not_reset(deployment, inactive, Clock::now(), kLingerTime);
     });
   }
-  SECTION("partial command") {
+  SECTION("incomplete command") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
       TestConnection ready = deployment.ready_client(), partial = deployment.connect();
       partial.send(kPartialCommand);
-      return late_request_is_not_reset(deployment, partial, Clock::now(), kLinger);
+      return late_request_is_not_reset(deployment, partial, Clock::now(), kLingerTime);
     });
   }
-  SECTION("too many idle clients") {
+  SECTION("too many idle connections") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
-      deployment.limit_descriptors(64);  // 25 for clients, half of which may be idle
+      deployment.limit_descriptors(64);  // 25 for clients; half of them may be idle
       std::vector<TestConnection> idle = deployment.ready_clients(14);
-      return late_request_is_not_reset(deployment, idle[0], Clock::now(), kLinger);
+      return late_request_is_not_reset(deployment, idle[0], Clock::now(), kLingerTime);
     });
   }
-  SECTION("descriptors run out") {
+  SECTION("too few descriptors") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
       deployment.limit_descriptors(64);
       std::vector<TestConnection> idle = deployment.ready_clients(25);
       const auto last_open = Clock::now();
       idle.push_back(deployment.ready_client());
-      return late_request_is_not_reset(deployment, idle[0], last_open, kShortLinger);
+      return late_request_is_not_reset(deployment, idle[0], last_open, kShortLingerTime);
     });
   }
-  SECTION("too many idle clients that have sent requests") {
+  SECTION("too many idle connections that have sent requests") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
-      deployment.limit_descriptors(64);  // ten idle clients that have sent requests
+      deployment.limit_descriptors(64);  // at most ten idle connections that have sent requests
       std::vector<TestConnection> clients;
       auto last_open = Clock::now();
       for (int i = 0; i < 11; ++i) {
@@ -71,18 +72,20 @@
         clients.back().send(lookup_with_timeout(std::to_string(i), 0));
         REQUIRE_THAT(clients.back().receive_line(), StartsWith("-BUSY"));
       }
-      return late_request_is_not_reset(deployment, clients[0], last_open, kLinger);
+      return late_request_is_not_reset(deployment, clients[0], last_open, kLingerTime);
     });
   }
 }
 
-TEST_CASE("connections that ignore a half-close do not hold capacity for long") {
+TEST_CASE("connections whose clients ignore the half-close free their capacity quickly") {
   repeat_until_in_time([] {
     Deployment deployment(1);
     deployment.limit_descriptors(64);
     const auto start = Clock::now();
     const std::vector<TestConnection> idle = deployment.ready_clients(100);  // none closes its side
-    return seconds_since(start) < 4;  // one second for every eight of them would take more than eight
+    // Were each group of eight lingering connections kept for a full second, this would take over eight
+    // seconds.
+    return seconds_since(start) < 4;
   });
 }
 
--- a/test/net/client_limits_test.cpp
+++ b/test/net/client_limits_test.cpp
@@ -1,4 +1,4 @@
-// Limits on what clients hold: connections, descriptors, bytes and time.
+// Limits on the resources that clients may occupy: connections, file descriptors, memory and time.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace ironquay::net {
 namespace {
 
-/// Sends up to `limit` bytes until the gateway closes the connection. Returns how many could be sent.
+/// Sends up to `limit` bytes, or until the gateway closes the connection. Returns the number of bytes sent.
 std::size_t bytes_accepted(const TestConnection& connection, std::size_t limit) {
   const std::string piece(65536, 'x');
   std::size_t sent = 0;
@@ -22,26 +22,28 @@
 }
 
 TEST_CASE(
-    "when descriptors run out idle clients are closed, busy ones stay, and waiting takes no processor time") {
+    "without free descriptors idle connections are closed, busy ones stay, and the gateway does not "
+    "busy-wait") {
   Deployment deployment(4);
   deployment.limit_descriptors(64);  // 25 for clients, 15 for workers
   TestConnection first = deployment.ready_client();
   std::vector<TestConnection> idle = deployment.ready_clients(40), workers;
   REQUIRE(first.reaches_end());
   REQUIRE(deployment.gateway.logs("reason=connection-limit"));
-  // Every client connection sends a request: 12 are forwarded, the rest wait.
+  // Every client connection that is still open sends a request. The gateway forwards 12 and queues the
+  // others.
   for (std::size_t i = 15; i < 40; ++i) idle[i].send(lookup_request(std::to_string(i)));
   for (int i = 0; i < 12; ++i) workers.push_back(deployment.next_attempt().connection);
   TestConnection waiting = deployment.connect();
   waiting.send(kPing);
-  const double before = deployment.gateway.cpu_seconds();
+  const double cpu_seconds_before = deployment.gateway.cpu_seconds();
   REQUIRE(waiting.receives_nothing_for(200ms));
-  REQUIRE(deployment.gateway.cpu_seconds() - before < 0.1);
+  REQUIRE(deployment.gateway.cpu_seconds() - cpu_seconds_before < 0.1);
   for (TestConnection& client : idle) client.close();
   REQUIRE(waiting.receives(kPong));
 }
 
-TEST_CASE("clients that send nothing or a partial command are closed after two seconds, idle ones are not") {
+TEST_CASE("connections without a complete command are closed after two seconds, other idle ones are not") {
   Deployment deployment(1);
   TestConnection partial = deployment.ready_client();
   partial.send(kPartialCommand);
@@ -57,7 +59,7 @@
   REQUIRE(idle.receives(kPong));
 }
 
-TEST_CASE("idle connections are limited to half of the capacity after two seconds") {
+TEST_CASE("connections idle for over two seconds are closed down to half of the connection limit") {
   Deployment deployment(1);
   deployment.limit_descriptors(64);  // 25 for clients
   const std::vector<TestConnection> idle = deployment.ready_clients(14);
@@ -66,9 +68,9 @@
   REQUIRE(std::count_if(idle.begin(), idle.end(), is_open) == 12);
 }
 
-TEST_CASE("idle connections that have sent requests are limited") {
+TEST_CASE("the number of idle connections that have sent requests is limited") {
   Deployment deployment(1);
-  deployment.limit_descriptors(64);  // 25 for clients, 10 of them for idle ones that have sent requests
+  deployment.limit_descriptors(64);  // 25 for clients; at most 10 of them idle after a request
   std::vector<TestConnection> clients;
   for (int i = 0; i < 14; ++i) {
     clients.push_back(deployment.ready_client());
@@ -80,7 +82,7 @@
   REQUIRE(deployment.gateway.logs("reason=request-connection-limit"));
 }
 
-TEST_CASE("a request of sixty megabytes is refused with an error while other clients are served") {
+TEST_CASE("a request of sixty megabytes is rejected with an error while other clients are served") {
   Deployment deployment(1);
   constexpr std::size_t kRequestSize = 60'000'000;
   TestConnection big = deployment.ready_client(), other = deployment.ready_client();
@@ -91,13 +93,13 @@
   REQUIRE(other.receives(kPong));
 }
 
-TEST_CASE("partial commands do not keep other clients out") {
+TEST_CASE("connections with incomplete commands do not prevent other clients from connecting") {
   Deployment deployment(1);
   deployment.limit_descriptors(64);
-  std::vector<TestConnection> stuck;
+  std::vector<TestConnection> incomplete;
   for (int i = 0; i < 30; ++i) {
-    stuck.push_back(deployment.ready_client());
-    stuck.back().send(kPartialCommand);
+    incomplete.push_back(deployment.ready_client());
+    incomplete.back().send(kPartialCommand);
   }
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
--- a/test/net/drain_test.cpp
+++ b/test/net/drain_test.cpp
@@ -1,19 +1,19 @@
-// SIGTERM: the gateway drains (graceful shutdown).
-// Rare orders of events are forced: the gateway is paused while they are put in place.
-// docs/incidents/rare-faults.md describes the faults that these cases guard against.
+// Graceful shutdown: on SIGTERM, the gateway drains. The cases guard against lost requests, reset connections
+// and drains that do not end. Where a fault depends on the order of events, the test sends the events while
+// the gateway process is paused (SIGSTOP). See also docs/incidents/rare-faults.md.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
 namespace {
 
-/// What the clients of a load have seen.
+/// What the load clients observed.
 struct LoadResult {
   std::size_t responses = 0;
-  std::size_t closed = 0;         // connections that the gateway has closed
-  std::size_t lost_requests = 0;  // requests whose connection was closed without a response
+  std::size_t closed_connections = 0;  // connections that the gateway closed
+  std::size_t lost_requests = 0;       // requests whose connection was closed without a response
 };
 
-/// A client that sends its next request when it has the response to the last one.
+/// A client that sends its next request when it has received the response to the previous one.
 struct LoadClient {
   TestConnection connection;
   bool request_in_flight = false;
@@ -22,25 +22,25 @@
     connection.send(lookup_request(std::to_string(++next_id)));
     request_in_flight = true;
   }
-  /// Reads a response or the end of the connection.
+  /// Reads a response or the end of stream.
   void read_response(LoadResult& result, int& next_id) {
     if (connection.receive_until("\r\nv\r\n").empty()) {
       REQUIRE_FALSE(connection.was_reset());
       result.lost_requests += request_in_flight;
-      ++result.closed;
+      ++result.closed_connections;
       connection.close();
       return;
     }
     ++result.responses;
     request_in_flight = false;
-    // When the gateway closes the connection it does so right after the response.
+    // If the gateway closes the connection, it does so immediately after the response.
     if (!readable(connection.fd(), 20ms)) send_request(next_id);
   }
 };
 
 bool has_input(const TestConnection& connection) { return connection.fd() && readable(connection.fd(), 0ms); }
 
-/// Waits a moment for a new connection at the server or input on any of the others.
+/// Waits up to 20 ms for a new connection at the server, or for input on any of the connections.
 void wait_for_any(const TestServer& server, const std::vector<TestConnection>& workers,
                   const std::vector<LoadClient>& clients) {
   std::vector<const FileDescriptor*> fds = {&server.fd()};
@@ -58,7 +58,7 @@
   deployment.gateway.terminate();
   REQUIRE(deployment.gateway.logs("draining"));
   TestConnection late = deployment.ready_client();
-  REQUIRE(late.reaches_end());  // after its response
+  REQUIRE(late.reaches_end());  // after the response to its PING
   REQUIRE_FALSE(late.was_reset());
   REQUIRE(idle.reaches_end());
   REQUIRE_FALSE(idle.was_reset());
@@ -73,7 +73,7 @@
   REQUIRE_THAT(deployment.gateway.log(), Contains("stopped name=n0"));
 }
 
-TEST_CASE("a drain under load answers every request or closes its connection before reading it") {
+TEST_CASE("a drain under load closes no connection that has a request without a response") {
   Deployment deployment(1);
   std::vector<LoadClient> clients;
   std::vector<TestConnection> workers;
@@ -83,7 +83,7 @@
   LoadResult result;
   const auto start = Clock::now();
   bool draining = false;
-  while (result.closed < clients.size() && Clock::now() - start < 3s) {
+  while (result.closed_connections < clients.size() && Clock::now() - start < 3s) {
     if (!draining && Clock::now() - start > 200ms) {
       deployment.gateway.terminate();
       draining = true;
@@ -95,18 +95,18 @@
       if (has_input(client.connection)) client.read_response(result, next_id);
     if (deployment.worker(0).has_connection_within(0ms)) workers.push_back(deployment.worker(0).accept());
   }
-  REQUIRE(result.closed == clients.size());
+  REQUIRE(result.closed_connections == clients.size());
   REQUIRE(result.lost_requests == 0);
   REQUIRE(result.responses > 6);
   clients.clear();
   REQUIRE(deployment.gateway.exit_code() == 0);
 }
 
-TEST_CASE("a drain waits for clients to close and resets none that still sends") {
+TEST_CASE("a drain waits until clients close and does not reset those that still send") {
   Deployment deployment(1);
   TestConnection late = deployment.ready_client();
   deployment.gateway.terminate();
-  REQUIRE(late.reaches_end());  // but its own side is open
+  REQUIRE(late.reaches_end());  // the client's side stays open
   for (int i = 0; i < 15; ++i) {
     late.send(lookup_request(std::to_string(i)));
     std::this_thread::sleep_for(100ms);
@@ -117,9 +117,9 @@
   REQUIRE(deployment.gateway.exit_code() == 0);
 }
 
-TEST_CASE("a drain continues when a request that it reads evicts another idle client") {
+TEST_CASE("a drain continues when reading a request evicts another idle connection") {
   Deployment deployment(1);
-  // 625 connections, 250 of them for idle clients that have sent requests.
+  // The gateway allows 625 client connections, and 250 of them idle after a request.
   deployment.config["settings"]["bounds"]["open_cap"] = 10000;
   TestConnection first = deployment.ready_client();
   std::vector<TestConnection> requesters;
@@ -132,8 +132,8 @@
   deployment.gateway.terminate();
   REQUIRE(deployment.gateway.logs("draining name"));
   deployment.gateway.pause();
-  // More events than one round of the loop handles, so that the drain reads the first client's request before
-  // its own event is handled.
+  // There are more events than one iteration of the loop handles. The drain therefore reads the first
+  // client's request before the loop handles the event of that client.
   for (TestConnection& client : others) client.send(kPing);
   first.send(lookup_with_timeout("1", 0));
   std::this_thread::sleep_for(500ms);
--- a/test/net/request_parser_test.cpp
+++ b/test/net/request_parser_test.cpp
@@ -1,4 +1,4 @@
-// The parser of clients' requests: what it reads, and every error with its text.
+// The parser of client requests: the fields it reads, every error it reports, and the text of each error.
 #include "net/request_parser.hpp"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kCustomer = "00000000000000ab";
 
-resp::Command command_of(std::initializer_list<std::string_view> words) {
+resp::Command make_command(std::initializer_list<std::string_view> words) {
   resp::Command command;
   for (const std::string_view word : words) command.words[command.word_count++] = word;
   return command;
@@ -23,7 +23,7 @@
 
 RequestParseResult parse(CommandType type, std::initializer_list<std::string_view> words) {
   static const DecodedSettings settings = decode_settings(default_settings());
-  return parse_request(command_of(words), type, settings);
+  return parse_request(make_command(words), type, settings);
 }
 
 RequestParseResult parse_attributes(std::string_view attributes,
@@ -43,7 +43,7 @@
   void fail() override {}
 };
 
-TEST_CASE("the type of a command is found in any case") {
+TEST_CASE("command names are matched without regard to case") {
   REQUIRE(command_type("CALL.GET") == CommandType::idempotent_request);
   REQUIRE(command_type("call.post") == CommandType::other_request);
   REQUIRE(command_type("Ping") == CommandType::ping);
@@ -54,7 +54,7 @@
     REQUIRE(command_type(name) == CommandType::unknown);
 }
 
-TEST_CASE("a request is read with all its fields") {
+TEST_CASE("all fields of a request are parsed") {
   const std::string_view attributes = "c=order,t=small,k=key,d=1500.5,r=1,units=2.5,spread=2,first=1,x=y";
   const auto result = parse(CommandType::other_request, {"CALL.POST", kCustomer, "id-1", attributes, "body"});
   const RequestMessage& request = std::get<RequestMessage>(result);
@@ -73,7 +73,7 @@
   REQUIRE(request.is_retry);
 }
 
-TEST_CASE("a request has defaults for the fields that may be missing, and at most its route's timeout") {
+TEST_CASE("optional fields have defaults, and the timeout is limited by the route") {
   const RequestMessage request =
       std::get<RequestMessage>(parse_attributes("c=lookup,t=team,d=60000,units=1"));
   REQUIRE_FALSE(request.has_body);
@@ -84,20 +84,20 @@
   REQUIRE_FALSE(request.is_retry);
 }
 
-TEST_CASE("each part of a request that is wrong has its error") {
+TEST_CASE("each invalid part of a request is reported with its own error") {
   const auto read = CommandType::idempotent_request, write = CommandType::other_request;
-  const std::string_view good = "c=lookup,t=team,d=1,units=1";
+  const std::string_view valid = "c=lookup,t=team,d=1,units=1";
   REQUIRE(fails_with(parse(read, {"CALL.GET", kCustomer, "id"}), RequestError::wrong_word_count));
   REQUIRE(
-      fails_with(parse(read, {"CALL.GET", kCustomer, "id", good, "", ""}), RequestError::wrong_word_count));
+      fails_with(parse(read, {"CALL.GET", kCustomer, "id", valid, "", ""}), RequestError::wrong_word_count));
   for (const std::string_view customer : {"", "ab", "00000000000000xy", "000000000000000ab"})
-    REQUIRE(fails_with(parse(read, {"CALL.GET", customer, "id", good}), RequestError::invalid_customer));
+    REQUIRE(fails_with(parse(read, {"CALL.GET", customer, "id", valid}), RequestError::invalid_customer));
   const std::string long_id(65, 'x');
   for (const std::string_view id : {std::string_view(""), std::string_view("a b"), std::string_view(long_id)})
-    REQUIRE(fails_with(parse(read, {"CALL.GET", kCustomer, id, good}), RequestError::invalid_request_id));
+    REQUIRE(fails_with(parse(read, {"CALL.GET", kCustomer, id, valid}), RequestError::invalid_request_id));
   REQUIRE(fails_with(parse_attributes("t=team,d=1,units=1"), RequestError::unknown_route));
   REQUIRE(fails_with(parse_attributes("c=lookup,t=none,d=1,units=1"), RequestError::unknown_plan));
-  REQUIRE(fails_with(parse_attributes(good, write), RequestError::wrong_command_for_route));
+  REQUIRE(fails_with(parse_attributes(valid, write), RequestError::wrong_command_for_route));
   REQUIRE(
       fails_with(parse_attributes("c=pay,t=team,d=1,units=1", read), RequestError::wrong_command_for_route));
   REQUIRE(fails_with(parse_attributes("c=order,t=team,d=1,units=1", write),
@@ -107,15 +107,17 @@
         fails_with(parse_attributes("c=lookup,t=team,units=1,d=" + timeout), RequestError::invalid_timeout));
   for (const std::string units : {"", "0", "-1", "8.5", "1x", "nan"})
     REQUIRE(fails_with(parse_attributes("c=lookup,t=team,d=1,units=" + units), RequestError::invalid_units));
-  const std::string valid(good);
+  const std::string valid_text(valid);
   for (const std::string spread : {"0", "3", "x"})
-    REQUIRE(fails_with(parse_attributes(valid + ",spread=" + spread), RequestError::invalid_gateway_spread));
+    REQUIRE(
+        fails_with(parse_attributes(valid_text + ",spread=" + spread), RequestError::invalid_gateway_spread));
   for (const std::string first : {"-1", "2", "x"})
-    REQUIRE(fails_with(parse_attributes(valid + ",first=" + first), RequestError::invalid_first_gateway));
-  REQUIRE(fails_with(parse_attributes(valid + ",spread=1,first=1"), RequestError::wrong_gateway));
+    REQUIRE(
+        fails_with(parse_attributes(valid_text + ",first=" + first), RequestError::invalid_first_gateway));
+  REQUIRE(fails_with(parse_attributes(valid_text + ",spread=1,first=1"), RequestError::wrong_gateway));
 }
 
-TEST_CASE("each error has its text on the wire") {
+TEST_CASE("each error has a fixed response text") {
   const std::pair<RequestError, std::string_view> texts[] = {
       {RequestError::wrong_word_count, "-ERR wrong number of arguments\r\n"},
       {RequestError::invalid_customer, "-ERR no such customer\r\n"},
@@ -133,7 +135,7 @@
   for (const auto& [error, text] : texts) REQUIRE(error_response(error) == text);
 }
 
-TEST_CASE("an exchange that copied its buffers outlives the command it was read from") {
+TEST_CASE("an exchange that has copied its buffers does not depend on the buffer it was parsed from") {
   UnansweredExchange exchange;
   std::string command = "CALL.POST|customer|id|c=pay|body";
   const std::string_view words = command;
--- a/test/net/resp_parser_test.cpp
+++ b/test/net/resp_parser_test.cpp
@@ -1,4 +1,4 @@
-// The RESP parsers: commands of clients, replies of workers, and their fields.
+// The RESP parsers: client commands, worker replies, and lists of fields.
 #include <catch2/catch.hpp>
 
 #include "net/resp.hpp"
@@ -8,13 +8,13 @@
 
 using resp::ParseStatus;
 
-TEST_CASE("a command is partial until its last byte") {
+TEST_CASE("a command is incomplete until its last byte has arrived") {
   const std::string text = "*3\r\n$8\r\nCALL.GET\r\n$0\r\n\r\n$4\r\na\r\nb\r\n";
   resp::Command command;
   for (std::size_t size = 0; size < text.size(); ++size)
     REQUIRE(resp::parse_command(text.substr(0, size), command) == ParseStatus::incomplete);
-  const std::string longer = text + "*1";
-  REQUIRE(resp::parse_command(longer, command) == ParseStatus::complete);
+  const std::string with_next_command = text + "*1";
+  REQUIRE(resp::parse_command(with_next_command, command) == ParseStatus::complete);
   REQUIRE(command.wire_bytes == text.size());
   REQUIRE(command.word_count == 3);
   REQUIRE(command.words[0] == "CALL.GET");
@@ -22,7 +22,7 @@
   REQUIRE(command.words[2] == "a\r\nb");
 }
 
-TEST_CASE("bytes that cannot begin a command are malformed at once") {
+TEST_CASE("bytes that cannot become a valid command are malformed immediately") {
   resp::Command command;
   for (const char* text :
        {"PING\r\n", "*0\r\n", "*-1\r\n", "*17\r\n", "*1x\r\n", "*1\n", "*1\r\n+a\r\n", "*1\r\n$-1\r\n",
@@ -30,12 +30,13 @@
     INFO(text);
     REQUIRE(resp::parse_command(text, command) == ParseStatus::malformed);
   }
-  const std::string most = "*1\r\n$65536\r\n" + std::string(65536, 'x') + "\r\n";
-  REQUIRE(resp::parse_command(most, command) == ParseStatus::complete);
-  REQUIRE(resp::parse_command("*2" + most.substr(2) + most.substr(4), command) == ParseStatus::malformed);
+  const std::string longest = "*1\r\n$65536\r\n" + std::string(65536, 'x') + "\r\n";
+  REQUIRE(resp::parse_command(longest, command) == ParseStatus::complete);
+  REQUIRE(resp::parse_command("*2" + longest.substr(2) + longest.substr(4), command) ==
+          ParseStatus::malformed);
 }
 
-TEST_CASE("a worker's reply is partial until its last byte") {
+TEST_CASE("a worker reply is incomplete until its last byte has arrived") {
   const std::string text = "*3\r\n$2\r\nok\r\n$-1\r\n$14\r\nused=37,cost=4\r\n";
   resp::Reply reply;
   for (std::size_t size = 0; size < text.size(); ++size)
@@ -47,7 +48,7 @@
   REQUIRE(resp::find_field(reply.elements[2].text, "cost") == "4");
 }
 
-TEST_CASE("a value is complete though the parts after it are not") {
+TEST_CASE("a value can be used even if the elements after it are malformed or incomplete") {
   resp::Reply reply;
   REQUIRE(resp::parse_reply("*3\r\n$1\r\nv\r\n:5\r\n+x=\r\n", reply) == ParseStatus::complete);
   REQUIRE(reply.elements[1].text == "5");
@@ -58,7 +59,7 @@
   REQUIRE(resp::parse_reply("*3\r\n$3000000000\r\n", reply) == ParseStatus::malformed);
 }
 
-TEST_CASE("error, bulk string and null replies are parsed, other types are malformed") {
+TEST_CASE("error, bulk string and null replies are parsed, invalid replies are malformed") {
   resp::Reply reply;
   REQUIRE(resp::parse_reply("-ERR failed used=3 inflight=7\r\n", reply) == ParseStatus::complete);
   REQUIRE(reply.type == '-');
@@ -73,7 +74,7 @@
   REQUIRE(resp::parse_reply("-" + std::string(5000, 'x'), reply) == ParseStatus::malformed);
 }
 
-TEST_CASE("a field is found by its complete name") {
+TEST_CASE("a field is found only by its complete name") {
   REQUIRE(resp::find_field("d=1,id=2", "d") == "1");
   REQUIRE(resp::find_field("id=2,d=", "d").empty());
   REQUIRE(resp::find_field("id=2,d=3", "d") == "3");
--- a/test/net/support/deployment.cpp
+++ b/test/net/support/deployment.cpp
@@ -49,11 +49,11 @@
     TestConnection client = connect();
     client.send(kPing);
     if (client.receives(kPong)) return client;
-    // On a busy machine the gateway may have given up the watch before it was answered, and requested
-    // another.
+    // On a busy machine, the gateway's watch may have timed out before it was answered. The gateway then
+    // opens another one.
     if (discovery.has_connection_within(10ms)) watch_ = accept_watch();
   }
-  FAIL("the gateway does not get ready: " << gateway.log());
+  FAIL("the gateway did not become ready: " << gateway.log());
   return TestConnection();
 }
 
@@ -69,9 +69,9 @@
   events.reserve(workers_.size());
   for (const TestServer& worker : workers_) events.push_back({worker.fd().get(), POLLIN, 0});
   if (poll(events.data(), events.size(), static_cast<int>(kWaitTimeout.count())) <= 0)
-    FAIL("no worker gets a connection: " << gateway.log());
+    FAIL("no worker received a connection: " << gateway.log());
   const auto ready =
-      std::find_if(events.begin(), events.end(), [](const pollfd& one) { return one.revents; });
+      std::find_if(events.begin(), events.end(), [](const pollfd& event) { return event.revents; });
   const auto index = static_cast<std::size_t>(ready - events.begin());
   return {workers_[index].accept(), index};
 }
--- a/test/net/support/deployment.hpp
+++ b/test/net/support/deployment.hpp
@@ -1,4 +1,5 @@
-// A gateway process between servers that the test plays: workers, discovery, counter and another gateway.
+// A gateway process in a deployment whose other parts the test simulates: clients, workers, discovery,
+// counter and another gateway.
 #pragma once
 #include <cstddef>
 #include <functional>
@@ -13,64 +14,71 @@
 
 namespace ironquay::net {
 
-/// For so long after a reply the gateway does not reuse a worker connection, as a duplicate may follow.
+/// How long the gateway waits after a reply before it reuses the worker connection, because a duplicate reply
+/// may follow.
 constexpr Milliseconds kReuseDelay = 20ms;
 
 /// A connection that the gateway opened to a worker for an attempt.
 struct Attempt {
   TestConnection connection;
-  std::size_t worker;  // index
+  std::size_t worker;  // index of the worker in the deployment
 };
 
-/// A watch of the endpoint list: the connection, whose response has begun, and the head of the request.
+/// A watch of the endpoint list that the gateway has opened.
 struct Watch {
-  TestConnection connection;
-  std::string request;
+  TestConnection connection;  // the discovery service's side; the HTTP response has begun
+  std::string request;        // the head of the HTTP request
 };
 
-/// A gateway with its workers, discovery service, counter and one other gateway, all played by the test.
-/// Change `config` before start() or ready_client(); reload_config() applies changes to a running gateway.
+/// A gateway process together with its workers, discovery service and counter, and one other gateway. The
+/// test simulates all but the gateway process. Changes to `config` must be made before start() or
+/// ready_client(); reload_config() applies them to a running gateway.
 class Deployment {
  public:
   explicit Deployment(std::size_t workers = 2);
 
+  /// Writes `config` and starts the gateway.
   void start();
-  /// Writes `config` and sends SIGHUP.
+  /// Writes `config` and makes the running gateway load it (SIGHUP).
   void reload_config() const;
-  /// Limits the gateway's file descriptors. With 64 it has 25 for clients and 15 for workers.
+  /// Limits the gateway's file descriptors. Of 64 descriptors, it uses 25 for clients and 15 for workers.
   void limit_descriptors(int count) { config["limits"]["sockets"] = count; }
 
-  /// A client connection that has had a PONG. Starts the gateway and answers its watch if need be.
+  /// Returns a client connection on which a PING has been answered. Starts the gateway and answers its watch
+  /// if that has not happened yet. Fails the test if the gateway does not get ready within kWaitTimeout.
   TestConnection ready_client();
+  /// Returns `count` connections as from ready_client().
   std::vector<TestConnection> ready_clients(std::size_t count);
-  /// A client connection of which nothing is known yet.
+  /// Starts a client connection, which the gateway may not have accepted yet.
   TestConnection connect() const { return TestConnection(connect_tcp(address_)); }
   const Address& address() const { return address_; }
 
-  /// Waits for the next connection to any worker.
+  /// Waits for the next connection to any worker; fails the test if there is none within kWaitTimeout.
   Attempt next_attempt();
-  /// Whether no worker gets a connection; `duration` is waited for each of them in turn.
+  /// Whether no worker receives a connection. Waits for `duration` for each worker in turn.
   bool no_attempt_for(Milliseconds duration) const;
   TestServer& worker(std::size_t index) { return workers_[index]; }
 
-  /// The complete endpoint list. `health` is "in_service" or "terminating".
+  /// Returns the complete endpoint list, in which all workers have the same health: "in_service" or
+  /// "terminating".
   Json endpoint_list(int version, const char* health) const;
-  /// A change to the endpoint list: the new health of one worker.
+  /// Returns a change to the endpoint list that sets the health of one worker.
   Json endpoint_change(int version, std::size_t worker, const char* health) const;
-  /// A new version of the endpoint list that changes nothing.
+  /// Returns a new version of the endpoint list without changes.
   static Json empty_endpoint_change(int version);
-  /// Accepts a watch and answers that nothing has changed.
+  /// Accepts a watch, reads its request and sends an event without changes.
   Watch accept_watch();
-  /// The watch that ready_client() accepted, or else the next one.
+  /// Returns the watch that ready_client() accepted; accepts the next one if there is none.
   Watch take_watch();
 
-  /// Where the gateway's gossip to the other gateway arrives.
+  /// The UDP socket of the other gateway, which receives the gossip.
   const FileDescriptor& peer_socket() const { return peer_socket_; }
 
   Json config;
   TestServer discovery;
   TestServer counter;
-  std::function<void(Json& endpoint)> edit_endpoint;  // changes each entry of the endpoint lists, if set
+  /// If set, modifies each entry of the endpoint lists.
+  std::function<void(Json& endpoint)> edit_endpoint;
   GatewayProcess gateway;
 
  private:
--- a/test/net/support/frontend_fixture.hpp
+++ b/test/net/support/frontend_fixture.hpp
@@ -1,4 +1,4 @@
-// The gateway's client side without the rest, on an event loop that the test runs.
+// The client side of the gateway without its other parts, on an event loop that the test runs.
 #pragma once
 #include <functional>
 #include <vector>
@@ -11,8 +11,8 @@
 
 namespace ironquay::net {
 
-/// A Frontend whose listener is the test: it records the requests, and calls hooks from within the Frontend's
-/// own callbacks. Nothing happens unless the test runs the loop.
+/// A Frontend with a listener that records the requests. The listener's functions call the test's hooks, if
+/// set. The Frontend makes progress only while the test runs the loop.
 class FrontendFixture : public Frontend::Listener {
  public:
   explicit FrontendFixture(std::size_t max_connections = 25, int client_timeout_ms = 3000)
@@ -22,12 +22,12 @@
   }
 
   void on_request(Exchange& exchange) override {
-    exchange.id = ++requests;
-    times_left.push_back(exchange.time_left);
+    exchange.id = ++request_count;
+    received_time_left.push_back(exchange.time_left);
     if (request_hook) request_hook(exchange);
   }
   void on_client_disconnect(Exchange& exchange) override {
-    ++clients_left;
+    ++disconnect_count;
     if (disconnect_hook) disconnect_hook(exchange);
   }
   void on_deadline_shortened(Exchange& exchange) override {
@@ -35,24 +35,28 @@
     shortened_time_left = exchange.time_left;
   }
 
+  /// Starts a client connection.
   TestConnection connect() const { return TestConnection(connect_tcp(address_)); }
+  /// Runs the loop for `duration`, or until it is stopped.
   void run_for(Duration duration) {
     Timer timer(loop, [this] { loop.stop(); });
     timer.expire_after(duration);
     loop.run();
   }
-  /// Runs the loop until the condition holds. Returns whether it does within the time limit.
+  /// Runs the loop until the condition holds or kWaitTimeout has passed. Returns whether the condition holds.
   template <typename Condition>
   bool run_until(Condition condition) {
-    for (Milliseconds waited{0}; waited < kWaitTimeout && !condition(); waited += kStep) run_for(kStep);
+    for (Milliseconds waited{0}; waited < kWaitTimeout && !condition(); waited += kCheckInterval)
+      run_for(kCheckInterval);
     return condition();
   }
+  /// Runs the loop until at least `count` requests have been received in total.
   bool run_until_requests(std::size_t count) {
-    return run_until([&] { return requests >= count; });
+    return run_until([&] { return request_count >= count; });
   }
 
  private:
-  static constexpr Milliseconds kStep = 5ms;
+  static constexpr Milliseconds kCheckInterval = 5ms;
   static constexpr std::size_t kMaxBufferedBytes = std::size_t{64} << 20;
 
   static Json settings(int client_timeout_ms) {
@@ -67,11 +71,12 @@
 
  public:
   EventLoop loop;
-  std::size_t requests = 0;             // received
-  std::size_t clients_left = 0;         // requests whose client closed its connection
-  std::size_t deadlines_shortened = 0;  // requests in flight whose deadline a drain has moved
-  std::vector<Duration> times_left;     // of each request when it was received
-  Duration shortened_time_left{0};      // of the last one whose deadline was moved
+  std::size_t request_count = 0;             // requests received
+  std::size_t disconnect_count = 0;          // requests whose client disconnected before the response
+  std::size_t deadlines_shortened = 0;       // requests whose deadline a drain has shortened
+  std::vector<Duration> received_time_left;  // the time left of each request when it was received
+  Duration shortened_time_left{0};  // the new time left of the last request whose deadline was shortened
+  // Called at the end of on_request() and on_client_disconnect().
   std::function<void(Exchange&)> request_hook;
   std::function<void(Exchange&)> disconnect_hook;
   Frontend frontend;
--- a/test/net/support/full_backlog_server.hpp
+++ b/test/net/support/full_backlog_server.hpp
@@ -1,4 +1,4 @@
-// A server whose accept queue is full, so that connections to it are established late.
+// A server whose accept queue is full, so that connections to it are established with a delay.
 #pragma once
 #include <arpa/inet.h>
 
@@ -12,7 +12,7 @@
 namespace ironquay::net {
 
 /// A listening server whose accept queue is full. A connection to it is established only after
-/// free_backlog(), when the system sends its SYN again, about a second after the first one.
+/// free_backlog(), when the connecting system retransmits its SYN, about a second after the first one.
 class FullBacklogServer {
  public:
   FullBacklogServer() : fd_(bind_tcp(any_port())), address_(address_of(fd_)) {
@@ -22,12 +22,13 @@
   }
 
   std::string address() const { return to_string(address_); }
-  /// Waits until somebody has sent a SYN to this server that is not answered yet.
+  /// Waits until a SYN has been sent to this server and not answered yet.
   void wait_for_pending_connect() const {
     REQUIRE(wait_until([&] { return connect_is_pending(); }, 5ms));
   }
   /// Accepts the connection that fills the queue.
   void free_backlog() { accept(); }
+  /// Accepts a connection; fails the test if there is none within kWaitTimeout.
   TestConnection accept() {
     REQUIRE(readable(fd_, kWaitTimeout));
     Address peer;
@@ -35,7 +36,8 @@
   }
 
  private:
-  /// Looks for a socket in state 02 (SYN sent) with this remote port in the system's table of TCP sockets.
+  /// Whether the system's table of TCP sockets contains one in state 02 (SYN sent) with this server's port as
+  /// its remote port.
   bool connect_is_pending() const {
     std::array<char, 16> pattern;
     std::snprintf(pattern.data(), pattern.size(), ":%04X 02 ", ntohs(address_.sin_port));
--- a/test/net/support/gateway_process.cpp
+++ b/test/net/support/gateway_process.cpp
@@ -22,7 +22,7 @@
 GatewayProcess::~GatewayProcess() {
   if (pid_ > 0) {
     int status = 0;
-    CHECK(waitpid(pid_, &status, WNOHANG) == 0);  // it has not ended by itself
+    CHECK(waitpid(pid_, &status, WNOHANG) == 0);  // the process is still running
     kill(pid_, SIGKILL);
     waitpid(pid_, &status, 0);
   }
@@ -89,7 +89,7 @@
 }
 
 double GatewayProcess::cpu_seconds() const {
-  constexpr int kUserTime = 14, kSystemTime = 15;  // fields of the file, counted from 1, in clock ticks
+  constexpr int kUserTime = 14, kSystemTime = 15;  // numbers of the fields, from 1; in clock ticks
   std::ifstream stat(proc_file("stat"));
   std::string word;
   double ticks = 0;
--- a/test/net/support/gateway_process.hpp
+++ b/test/net/support/gateway_process.hpp
@@ -1,4 +1,4 @@
-// The gateway program as a child process.
+// Runs the gateway program as a child process.
 #pragma once
 #include <sys/types.h>
 
@@ -8,8 +8,9 @@
 
 namespace ironquay::net {
 
-/// The gateway program as a child process with a configuration file and a log in a temporary directory.
-/// The destructor checks that the program has not ended by itself, and kills it.
+/// The gateway program as a child process, with its configuration file and log in a temporary directory. If
+/// the process has been started and exit_code() has not been called, the destructor checks that the process
+/// is still running, and kills it.
 class GatewayProcess {
  public:
   GatewayProcess();
@@ -17,38 +18,47 @@
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
 
+  /// Writes the configuration file.
   void write_config(std::string_view text) const;
-  /// Starts the program with the configuration written last. `discovery` is the address of discovery.
+  /// Starts the program with the configuration written last. `discovery` is the address of the discovery
+  /// service.
   void start(const std::string& discovery);
   bool started() const { return pid_ != 0; }
   bool is_running() const;
-  /// Waits for the program to end. 1000 + the signal's number if a signal ended it; -1 if it goes on.
+  /// Waits for the process to exit and returns its exit code. Returns 1000 plus the signal number if a signal
+  /// terminated it, or -1 if it does not exit within kWaitTimeout.
   int exit_code();
 
   void send_signal(int signal) const;
+  /// Sends SIGTERM.
   void terminate() const;
+  /// Sends SIGHUP.
   void reload() const;
-  /// Stops the program (SIGSTOP), so that it finds all that happens until resume() at once.
+  /// Stops the process (SIGSTOP). Events that occur before resume() are all pending when it continues.
   void pause() const;
+  /// Continues the process (SIGCONT).
   void resume() const;
 
+  /// The text that the process has logged so far.
   std::string log() const;
   bool has_logged(std::string_view text) const;
   std::size_t times_logged(std::string_view text) const;
-  /// Waits for the text to appear in the log.
+  /// Waits until the log contains `text`. Returns false if it does not within kWaitTimeout.
   bool logs(std::string_view text) const;
 
+  /// The processor time that the process has used so far.
   double cpu_seconds() const;
-  /// Whether the program blocks this signal.
+  /// Whether the process blocks this signal.
   bool blocks(int signal) const;
 
  private:
-  /// The state of the process as the system names it: R, S, T and so on; ? where there is none.
+  /// The state of the process in the notation of /proc (R, S, T and so on); '?' if it does not exist.
   char state() const;
+  /// The path of a file of the process in /proc.
   std::string proc_file(const char* name) const;
 
   std::string directory_;
-  pid_t pid_ = 0;  // 0 before the start, -1 after the end
+  pid_t pid_ = 0;  // 0 before start(), -1 after exit_code() has returned the code
 };
 
 }  // namespace ironquay::net
--- a/test/net/support/messages.cpp
+++ b/test/net/support/messages.cpp
@@ -9,12 +9,12 @@
 
 std::string timeout_field(int milliseconds) { return ",d=" + std::to_string(milliseconds); }
 
-std::string get(std::string_view id, std::string_view marks) {
-  return resp_array({"CALL.GET", kCustomer, id, marks});
+std::string get(std::string_view id, std::string_view attributes) {
+  return resp_array({"CALL.GET", kCustomer, id, attributes});
 }
 
-std::string post(std::string_view id, std::string_view marks) {
-  return resp_array({"CALL.POST", kCustomer, id, marks, "BODY"});
+std::string post(std::string_view id, std::string_view attributes) {
+  return resp_array({"CALL.POST", kCustomer, id, attributes, "BODY"});
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
   return out;
 }
 
-std::string lookup_request(std::string_view id, std::string_view marks) { return get(id, marks); }
+std::string lookup_request(std::string_view id, std::string_view attributes) { return get(id, attributes); }
 
 std::string lookup_with_timeout(std::string_view id, int timeout_ms) {
   return get(id, "c=lookup,t=team,units=2,spread=1,first=0" + timeout_field(timeout_ms));
--- a/test/net/support/settings.hpp
+++ b/test/net/support/settings.hpp
@@ -1,4 +1,4 @@
-// The settings object of the gateways under test.
+// The settings object of the gateways in the tests.
 #pragma once
 #include <nlohmann/json.hpp>
 
@@ -6,21 +6,22 @@
 
 using Json = nlohmann::json;
 
-/// A route class. `effect` is "read_like", "idempotency_key" or "non_idempotent".
+/// The settings of a route. `effect` is "read_like", "idempotency_key" or "non_idempotent".
 inline Json route_class(const char* name, const char* effect) {
   return {{"name", name}, {"effect", effect},  {"on_time", 1000},    {"give_up", 3000},
           {"gain", 1.0},  {"late_share", 0.0}, {"key_scope", "all"}, {"key_ttl", 4000}};
 }
 
-/// A plan whose quota refills at `units_per_second` and stores at most one second of it.
+/// The settings of a quota plan that refills at `units_per_second` and stores at most the units of one
+/// second.
 inline Json plan(const char* name, double units_per_second) {
   return {{"name", name},        {"refill", units_per_second}, {"store_size", units_per_second},
           {"at_once", 0},        {"never_over_rate", 0.0},     {"hard_burst", 0.0},
           {"beyond_earns", 0.0}, {"overrun_cost", 1.0}};
 }
 
-/// Settings with a route class of each kind (lookup, order, pay), a plan with ample quota (team) and one that
-/// a single request can empty (small). Client timeouts are 3 s.
+/// Settings with an idempotent, a keyed and a non-idempotent route (lookup, order and pay), a plan with a
+/// large quota (team) and a plan whose quota a single request can use up (small). Client timeouts are 3 s.
 inline Json default_settings() {
   return {
       {"classes",
@@ -49,12 +50,12 @@
       {"round", 2}};
 }
 
-/// Sets the time after which clients give up, in milliseconds, for all route classes.
+/// Sets the client timeout of all routes.
 inline void set_client_timeout(Json& settings, int milliseconds) {
   for (Json& route : settings["classes"]) route["give_up"] = milliseconds;
 }
 
-/// The same, with the time within which a response counts as on time.
+/// Sets the client timeout and the latency objective of all routes to the same value.
 inline void set_client_timeout_and_objective(Json& settings, int milliseconds) {
   set_client_timeout(settings, milliseconds);
   for (Json& route : settings["classes"]) route["on_time"] = milliseconds;
--- a/test/net/support/test_connection.cpp
+++ b/test/net/support/test_connection.cpp
@@ -10,7 +10,7 @@
   while (!bytes.empty() && fd_) {
     pollfd event{fd_.get(), POLLOUT, 0};
     if (poll(&event, 1, static_cast<int>(kWaitTimeout.count())) != 1)
-      FAIL("the other end reads nothing more");
+      FAIL("the peer does not read the bytes that were sent");
     const ssize_t sent = ::send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent <= 0) return;
     bytes.remove_prefix(static_cast<std::size_t>(sent));
@@ -43,10 +43,10 @@
 }
 
 std::string TestConnection::receive_until(std::string_view end) {
-  std::size_t at;
-  while ((at = received_.find(end)) == std::string::npos)
+  std::size_t position;
+  while ((position = received_.find(end)) == std::string::npos)
     if (!read_more()) return take(received_.size());
-  return take(at + end.size());
+  return take(position + end.size());
 }
 
 std::string TestConnection::receive_command() {
--- a/test/net/support/test_connection.hpp
+++ b/test/net/support/test_connection.hpp
@@ -1,4 +1,4 @@
-// One end of a TCP connection, with blocking reads and writes that are bounded by kWaitTimeout.
+// One end of a TCP connection, with blocking reads and writes that time out after kWaitTimeout.
 #pragma once
 #include <string>
 #include <string_view>
@@ -11,50 +11,53 @@
 using Catch::Matchers::EndsWith;
 using Catch::Matchers::StartsWith;
 
-/// One end of a TCP connection, which the test uses as a client, worker, counter or discovery service.
+/// One end of a TCP connection, with which the test acts as a client, worker, counter or discovery service.
 class TestConnection {
  public:
   TestConnection() = default;
   explicit TestConnection(FileDescriptor fd) : fd_(std::move(fd)) {}
 
-  /// Sends all bytes; fails the test if the other end stops reading. Errors such as a reset are ignored.
+  /// Sends all bytes. Fails the test if the peer stops reading. Ignores errors such as a reset.
   void send(std::string_view bytes);
-  /// Sends each byte by itself, so that the other end sees every possible cut.
+  /// Sends each byte separately, so that the peer has to handle input that ends at any position.
   void send_byte_by_byte(std::string_view bytes);
-  /// Sends the bytes together with the end of the stream.
+  /// Sends the bytes together with the end of stream.
   void send_and_half_close(std::string_view bytes);
-  /// Ends the sending side; the receiving side stays open.
+  /// Closes the sending side. The receiving side stays open.
   void half_close();
   void close();
-  /// Closes with a TCP reset.
+  /// Closes the connection with a TCP reset.
   void reset();
 
-  /// Whether the next bytes are exactly `expected`.
+  /// Receives as many bytes as `expected` has. Returns whether they are equal to it.
   bool receives(std::string_view expected);
-  /// The next bytes up to and including `end`; all that arrives if the stream ends or times out before.
+  /// Returns the next bytes up to and including `end`, or all received bytes if the stream ends or a read
+  /// times out first.
   std::string receive_until(std::string_view end);
-  /// The next line, including its CRLF.
+  /// Returns the next line, including its CRLF.
   std::string receive_line() { return receive_until("\r\n"); }
-  /// The head of an HTTP message, including the empty line.
+  /// Returns the head of an HTTP message, including the empty line.
   std::string receive_http_head() { return receive_until("\r\n\r\n"); }
-  /// The words of the next RESP command, joined by spaces; empty if the stream ends before it is complete.
+  /// Returns the words of the next RESP command, joined by spaces. Empty if the stream ends or a read times
+  /// out before the command is complete.
   std::string receive_command();
   /// Receives one command, sends `reply`, and returns the command.
   std::string answer_command(std::string_view reply);
   bool receives_nothing_for(Milliseconds duration) const;
 
-  /// Reads until the other end closes. False if it has not within the time limit.
+  /// Reads until the peer closes its side. Returns false if a read times out first.
   bool reaches_end();
-  /// Whether the end that was read came as a reset.
+  /// Whether the connection ended with a reset. Valid after the end has been read.
   bool was_reset() const { return reset_; }
-  /// Whether the other end has reset the connection, as closing a socket with unread bytes does. A half-close
-  /// leaves it intact. Reads nothing.
+  /// Whether the peer has reset the connection. Closing a socket with unread bytes causes a reset, a
+  /// half-close does not. Reads no bytes.
   bool is_broken() const;
 
   const FileDescriptor& fd() const { return fd_; }
 
  private:
-  /// Reads what comes next into `received_`. False at the end of the stream and after kWaitTimeout.
+  /// Waits for bytes and appends them to `received_`. Returns false at the end of stream and after
+  /// kWaitTimeout.
   bool read_more();
   /// Removes the first `size` bytes of `received_` and returns them.
   std::string take(std::size_t size);
--- a/test/net/support/waiting.hpp
+++ b/test/net/support/waiting.hpp
@@ -1,4 +1,4 @@
-// Time limits of the socket tests, and waits for sockets and conditions.
+// Time limits of the socket tests, and functions that wait for sockets and conditions.
 #pragma once
 #include <poll.h>
 
@@ -15,17 +15,18 @@
 using Clock = std::chrono::steady_clock;
 using Milliseconds = std::chrono::milliseconds;
 
-/// Longer than any expected event takes, also on a busy machine and with sanitizers. A wait that reaches it
-/// has failed.
+/// The time limit of a wait. It is longer than any expected event takes, even on a busy machine and with
+/// sanitizers, so a wait that reaches it has failed.
 constexpr Milliseconds kWaitTimeout = 15s;
 
-/// Waits up to `timeout` for `fd` to have bytes, the end of the stream or a connection to accept. Zero polls.
+/// Waits up to `timeout` until `fd` has bytes, the end of stream or a connection to accept. Zero checks
+/// without waiting.
 inline bool readable(const FileDescriptor& fd, Milliseconds timeout) {
   pollfd event{fd.get(), POLLIN, 0};
   return poll(&event, 1, static_cast<int>(timeout.count())) == 1;
 }
 
-/// The same for several descriptors, of which one is enough. Invalid ones are ignored.
+/// Waits like readable() until any of the descriptors is readable. Ignores empty descriptors.
 inline bool readable_any(const std::vector<const FileDescriptor*>& fds, Milliseconds timeout) {
   std::vector<pollfd> events;
   events.reserve(fds.size());
@@ -37,7 +38,7 @@
   return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-/// Checks `condition` every `interval` until it holds or the time limit is reached. Returns whether it holds.
+/// Checks `condition` every `interval` until it holds or kWaitTimeout has passed. Returns whether it holds.
 template <typename Condition>
 bool wait_until(Condition condition, Milliseconds interval = 10ms) {
   const auto start = Clock::now();
@@ -48,13 +49,13 @@
   return true;
 }
 
-/// Repeats a scenario whose assertions hold only while the machine keeps to certain times. `scenario` returns
-/// whether it was in time; it is repeated, with a deployment of its own each time, until one run was. Fails
-/// after `most_runs`.
+/// Runs a scenario that is meaningful only if the machine is fast enough. `scenario` returns whether the run
+/// was in time. It must create a new deployment in each run, and is repeated until a run is in time. Fails
+/// the test after `max_runs` runs.
 template <typename Scenario>
-void repeat_until_in_time(Scenario scenario, int most_runs = 20) {
+void repeat_until_in_time(Scenario scenario, int max_runs = 20) {
   bool in_time = false;
-  for (int run = 0; run < most_runs && !in_time; ++run) in_time = scenario();
+  for (int run = 0; run < max_runs && !in_time; ++run) in_time = scenario();
   REQUIRE(in_time);
 }
 
