--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -16,8 +16,8 @@
 // sent. While a connection is over either limit, the gateway reads no further commands from it.
 constexpr std::size_t kMaxPipelinedCommands = 1024;
 constexpr std::size_t kMaxUnwrittenBytes = std::size_t{256} * 1024;
-// A half-closed connection whose client sends more than this is closed without waiting for the linger
-// timeout.
+// If the client of a closing connection sends more than this after all responses are written, the gateway
+// does not wait for the linger timeout.
 constexpr std::size_t kMaxDiscardedBytes = std::size_t{1024} * 1024;
 
 }  // namespace
--- a/src/net/connection_limiter.cpp
+++ b/src/net/connection_limiter.cpp
@@ -50,8 +50,9 @@
 }
 
 // Returns the least recently used connection from the first of these groups that is not empty: idle for
-// kIdleTimeout, idle after a command, idle, or waiting for the rest of a command. Returns null if all groups
-// are empty. A connection with unread input is never evicted, because the input may be a command.
+// kIdleTimeout, idle with at least one command received, idle, waiting for the rest of a command. Returns
+// null if all groups are empty. A connection with unread input is never evicted, because the input may be a
+// command.
 ClientConnection* ConnectionLimiter::eviction_candidate() const {
   ClientConnection* candidate = find_evictable(
       [](const auto& connection) { return connection.is_idle() && connection.is_idle_for(kIdleTimeout); });
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -49,8 +49,8 @@
   // was running, or while the process was not scheduled.
   Duration scheduling_delay() const { return scheduling_delay_; }
 
-  // Watches a descriptor for input, output and the peer's half-close (edge-triggered). The handler must stay
-  // valid until unwatch(). Throws std::system_error.
+  // Watches a descriptor for input, output and the peer's end of stream (edge-triggered). The handler must
+  // stay valid until unwatch(). Throws std::system_error.
   Token watch(int fd, Handler& handler);
   // Stops the delivery of events. The caller closes the descriptor. Does nothing if the descriptor is no
   // longer watched.
--- a/src/net/request_listener.hpp
+++ b/src/net/request_listener.hpp
@@ -4,8 +4,8 @@
 
 namespace ironquay::net {
 
-// Receives client requests and is notified of changes to them. It must respond to each request through its
-// exchange.
+// Receives client requests and is notified of changes to them. The listener responds to each
+// request through its exchange.
 class RequestListener {
  public:
   virtual ~RequestListener() = default;
--- a/src/net/request_registry.hpp
+++ b/src/net/request_registry.hpp
@@ -37,7 +37,7 @@
   ClientRequest* find(std::string_view client_request_id) const;
 
  private:
-  std::size_t pending_ = 0;                                            // commands
+  std::size_t pending_ = 0;
   std::unordered_map<std::string_view, ClientRequest*> by_client_id_;  // the keys point into the requests
   std::vector<std::unique_ptr<ClientRequest>> finished_;
 };
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-// When the gateway starts, the previous process may still hold the address until it exits.
+// Binding is retried because the previous process may hold the address until it exits.
 constexpr std::chrono::milliseconds kBindTimeout = 5000ms;
 constexpr std::chrono::milliseconds kBindRetryInterval = 20ms;
 
--- a/test/net/client_limits_test.cpp
+++ b/test/net/client_limits_test.cpp
@@ -43,7 +43,7 @@
   REQUIRE(waiting.receives(kPong));
 }
 
-TEST_CASE("connections without a complete command are closed after two seconds, other idle ones are not") {
+TEST_CASE("idle connections are closed after two seconds if their last command is missing or incomplete") {
   Deployment deployment(1);
   TestConnection partial = deployment.ready_client();
   partial.send(kPartialCommand);
--- a/test/net/drain_deadline_test.cpp
+++ b/test/net/drain_deadline_test.cpp
@@ -44,8 +44,8 @@
   client.send(lookup_with_timeout("2", 7500));  // its response must follow the first one
   REQUIRE(client.receives(kFailed));            // the worker may have executed the first request
   REQUIRE_THAT(client.receive_line(), StartsWith("-BUSY"));
-  REQUIRE(seconds_since(start) <
-          6.5);  // 3.4 s plus delays of the machine; the next case checks the exact limit
+  // The limit is 3.4 s plus delays of the machine. The next case checks the exact limit.
+  REQUIRE(seconds_since(start) < 6.5);
   REQUIRE(seconds_since(start) > 2.5);
   client.close();
   other.close();
@@ -94,8 +94,8 @@
     drained = true;
     front.loop.stop();
   });
-  front.run_for(
-      2s);  // longer than the 1.45 s that a drain waits for clients that have received all responses
+  // Longer than the 1.45 s for which a drain waits for clients that have received all responses.
+  front.run_for(2s);
   REQUIRE_FALSE(drained);
   std::size_t received = 0;
   std::thread reader([&] {
--- a/test/net/drain_test.cpp
+++ b/test/net/drain_test.cpp
@@ -49,7 +49,7 @@
   readable_any(fds, 20ms);
 }
 
-TEST_CASE("a drain accepts new requests, completes those in flight and resets nothing") {
+TEST_CASE("a drain accepts new requests, completes those in flight and resets no connection") {
   Deployment deployment;
   TestConnection busy = deployment.ready_client(), idle = deployment.ready_client();
   busy.send(lookup_request("1"));
@@ -145,7 +145,7 @@
   REQUIRE(deployment.gateway.exit_code() == 0);
 }
 
-TEST_CASE("a second SIGTERM and a SIGHUP do not disturb a drain") {
+TEST_CASE("a second SIGTERM and a SIGHUP do not interrupt a drain") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
--- a/test/net/support/messages.hpp
+++ b/test/net/support/messages.hpp
@@ -10,10 +10,10 @@
 constexpr const char* kPing = "*1\r\n$4\r\nPING\r\n";
 constexpr const char* kPong = "+PONG\r\n";
 constexpr const char* kProtocolError = "-ERR Protocol error\r\n";
-/// The response to a request that has failed; it may have been executed.
+/// The response to a request that has failed. The request may have been executed.
 constexpr const char* kFailed = "-ERR failed\r\n";
 constexpr const char* kDuplicateId = "-ERR this id is open already\r\n";
-/// The first bytes of a command.
+/// An incomplete command: only its first bytes.
 constexpr const char* kPartialCommand = "*4\r\n$8\r\nCALL";
 
 /// The customer id of all requests below.
--- a/test/net/support/test_connection.hpp
+++ b/test/net/support/test_connection.hpp
@@ -19,7 +19,7 @@
 
   /// Sends all bytes. Fails the test if the peer stops reading. Ignores errors such as a reset.
   void send(std::string_view bytes);
-  /// Sends each byte separately, so that the peer has to handle input that ends at any position.
+  /// Sends each byte separately, so that the peer must handle input that ends at any position.
   void send_byte_by_byte(std::string_view bytes);
   /// Sends the bytes together with the end of stream.
   void send_and_half_close(std::string_view bytes);
