--- a/src/config/settings_decoder.cpp
+++ b/src/config/settings_decoder.cpp
@@ -136,7 +136,7 @@
   policy.capabilities = decode_capabilities(settings, bounds, family);
   decoded.connection = decode_connection(bounds, family);
   policy.max_units = decoded.connection.max_units;
-  policy.settles_units = required<bool>(family, "settles");
+  policy.reports_actual_units = required<bool>(family, "settles");
   policy.cross_zone_cost = required<double>(required_section(settings, "tariffs"), "cross_zone");
   policy.gateway_index = required<int>(settings, "me");
   policy.gateway_count = required<int>(settings, "siblings");
--- a/src/lab/scenario/scenario_parser.cpp
+++ b/src/lab/scenario/scenario_parser.cpp
@@ -204,7 +204,7 @@
   scenario.length = top.duration("length_ms", 10s);
   if (scenario.length <= Duration(0)) top.reject("length_ms is nought");
   scenario.policy_settings.tick = kTick;
-  scenario.policy_settings.settles_units = false;
+  scenario.policy_settings.reports_actual_units = false;
   parse_table("gatekeepers", parse_gateways);
   parse_table("workers", parse_workers);
   parse_table("net", parse_network);
--- a/src/policy/duration.hpp
+++ b/src/policy/duration.hpp
@@ -1,4 +1,4 @@
-// Conversion between durations and seconds as floating-point numbers.
+// Conversions between Duration and seconds in floating point.
 #pragma once
 #include "policy/types.hpp"
 
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -1,6 +1,6 @@
-// What happens around a gateway, as it is reported to the load balancer.
+// The events that a gateway reports to its load balancer.
 //
-// Views in these messages need to be valid only during the call that receives the message.
+// String views in an event need to be valid only during the call that delivers the event.
 #pragma once
 #include <cstddef>
 #include <string_view>
@@ -15,10 +15,11 @@
   std::string_view customer;
   std::size_t route = 0;  // index into PolicySettings::routes
   std::size_t plan = 0;   // index into PolicySettings::plans
-  double units = 0;
-  int first_gateway = 0;   // the customer's gateways are numbered consecutively from this one,
-  int gateway_spread = 1;  // this many of them, wrapping around
-  Duration time_left{0};   // until the client times out
+  double units = 0;       // units of the customer's quota that it uses
+  // Index of the first of the customer's gateways. Their indices are consecutive and wrap around to 0.
+  int first_gateway = 0;
+  int gateway_spread = 1;  // number of the customer's gateways
+  Duration time_left{0};   // time until the client times out
   bool is_retry = false;   // the client has sent this request before
 };
 
@@ -30,7 +31,7 @@
   Outcome outcome = Outcome::success;
   Duration elapsed{0};
   bool request_finished = false;  // the client has its final answer
-  double actual_units = 0;        // 0: not reported
+  double actual_units = 0;        // units that the request used; 0: not reported
 };
 
 // One entry of an endpoint list.
@@ -39,16 +40,16 @@
   WorkerStatus status = WorkerStatus::ready;
   std::string_view zone;
   std::int64_t cell = 0;
-  double capacity_share = 1;  // of a usual worker's capacity
-  Duration started_at{0};     // 0: long ago
+  double capacity_share = 1;  // capacity relative to that of a normal worker
+  Duration started_at{0};     // 0: long ago, so that the worker is warm
 };
 
-// The counter service has answered a call, or the call has failed. Replies for one name come in the order of
-// the calls.
+// The counter service has answered a call, or the call has failed. Replies for one name arrive in the order
+// of the calls.
 struct CounterReply {
   std::string_view name;
   Outcome outcome = Outcome::success;
-  double total = 0;  // after the addition, units
+  double total = 0;  // the count after the addition, in units; valid only after a success
 };
 
 }  // namespace ironquay
--- a/src/policy/fnv1a.hpp
+++ b/src/policy/fnv1a.hpp
@@ -1,5 +1,5 @@
-// FNV-1a hashes (draft-eastlake-fnv). Unlike std::hash they give the same value in every process, so that all
-// gateways agree on identifiers and schedules derived from a name.
+// FNV-1a hash functions (draft-eastlake-fnv). Unlike std::hash, they return the same value in every process,
+// so that all gateways derive the same identifiers and schedules from a name.
 #pragma once
 #include <cstdint>
 #include <string_view>
--- a/src/policy/histogram.hpp
+++ b/src/policy/histogram.hpp
@@ -1,4 +1,5 @@
-// A histogram of a few bins that forgets: all counts are halved whenever it holds a given number of samples.
+// A histogram with few bins whose older samples lose weight: all counts are halved whenever their sum reaches
+// a given number.
 #pragma once
 #include <cstddef>
 #include <utility>
@@ -8,33 +9,36 @@
 
 class Histogram {
  public:
-  // Upper edges of the bins, ascending. Greater values count in the last bin.
-  explicit Histogram(std::vector<double> edges) : edges_(std::move(edges)), counts_(edges_.size()) {}
+  // `upper_edges` must be in ascending order. Values above the last edge count in the last bin.
+  explicit Histogram(std::vector<double> upper_edges)
+      : upper_edges_(std::move(upper_edges)), counts_(upper_edges_.size()) {}
 
-  void add(double value, double halve_at) {
+  // Adds a sample, then halves all counts if their sum has reached `halving_total`.
+  void add(double value, double halving_total) {
     std::size_t bin = 0;
-    while (bin + 1 < edges_.size() && value > edges_[bin]) ++bin;
+    while (bin + 1 < upper_edges_.size() && value > upper_edges_[bin]) ++bin;
     counts_[bin] += 1;
     total_ += 1;
-    if (total_ < halve_at) return;
+    if (total_ < halving_total) return;
     for (double& count : counts_) count /= 2;
     total_ /= 2;
   }
 
-  // The upper edge of the bin that holds this share of the samples; the last edge while there are none.
+  // Approximates a quantile: returns the upper edge of the first bin up to which at least `share` of the
+  // samples, from 0 to 1, lies. Returns the last edge if there are no samples.
   double quantile(double share) const {
-    double seen = 0;
+    double cumulative_count = 0;
     for (std::size_t bin = 0; bin < counts_.size(); ++bin) {
-      seen += counts_[bin];
-      if (total_ > 0 && seen >= share * total_) return edges_[bin];
+      cumulative_count += counts_[bin];
+      if (total_ > 0 && cumulative_count >= share * total_) return upper_edges_[bin];
     }
-    return edges_.empty() ? 0 : edges_.back();
+    return upper_edges_.empty() ? 0 : upper_edges_.back();
   }
 
  private:
-  std::vector<double> edges_;
-  std::vector<double> counts_;
-  double total_ = 0;
+  std::vector<double> upper_edges_;
+  std::vector<double> counts_;  // one per bin
+  double total_ = 0;            // the sum of counts_
 };
 
 }  // namespace ironquay
--- a/src/policy/quota_slices.cpp
+++ b/src/policy/quota_slices.cpp
@@ -102,7 +102,7 @@
 
 void QuotaSlices::correct_units(const Request& request, double actual_units) {
   QuotaSlice* slice = find(request.customer);
-  if (slice == nullptr || !settings_.settles_units || actual_units <= 0 || request.over_quota) return;
+  if (slice == nullptr || !settings_.reports_actual_units || actual_units <= 0 || request.over_quota) return;
   slice->tokens -= actual_units - request.units;
   slice->demand_rate += (actual_units - request.units) / to_seconds(kQuotaDemandWindow);
 }
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -20,7 +20,7 @@
 
   struct Lookup {
     QuotaSlice& slice;
-    bool created;
+    bool created;  // whether this lookup created the slice
   };
   // Returns the customer's slice and marks it as used now. A new slice starts with its full part of the
   // burst. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's gateways.
--- a/src/policy/random.hpp
+++ b/src/policy/random.hpp
@@ -1,4 +1,5 @@
-// The random source of the decisions. It is seeded once, so a gateway's decisions can be replayed.
+// The pseudo-random generator for all of a gateway's decisions. It is seeded once, so that the decisions can
+// be replayed with the same seed and the same events.
 #pragma once
 #include <cstddef>
 #include <random>
@@ -9,11 +10,11 @@
  public:
   explicit RandomSource(std::uint32_t seed) : engine_(seed) {}
 
-  // True with the given probability.
+  // Returns true with the given probability, from 0 to 1.
   bool chance(double probability) {
     return static_cast<double>(engine_()) <= probability * static_cast<double>(std::ranlux24_base::max());
   }
-  // A number from 0 to `count` - 1.
+  // Returns a number from 0 to `count` - 1. `count` must not be 0.
   std::size_t below(std::size_t count) { return engine_() % count; }
 
  private:
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -1,4 +1,4 @@
-// A client's request in flight and its attempts at workers.
+// A client's open request and its attempts at workers.
 #pragma once
 #include <string>
 #include <vector>
@@ -10,24 +10,25 @@
 // One transmission of a request to a worker.
 struct Attempt {
   WorkerId worker = 0;
-  std::string zone;       // of the worker, when the attempt was sent
-  std::int64_t cell = 0;  // of the worker, when the attempt was sent
+  std::string zone;       // the worker's zone when the attempt was sent
+  std::int64_t cell = 0;  // the worker's cell when the attempt was sent
   Duration sent_at{0};
   bool in_flight = true;
   bool may_have_executed = true;
 };
 
+// A request that has not got its final answer yet.
 struct Request {
   std::size_t route = 0;  // index into PolicySettings::routes
   std::size_t plan = 0;   // index into PolicySettings::plans
   std::string customer;
-  double units = 0;
-  double queue_rank = 0;  // the queued request with the lowest rank is sent first
-  Duration deadline{0};   // it gets its final answer by then
-  bool queued = false;
-  bool streaming = false;   // its response has begun
-  bool over_quota = false;  // admitted beyond the customer's quota
-  std::vector<Attempt> attempts;
+  double units = 0;               // units of the customer's quota that it uses
+  double queue_rank = 0;          // the queued request with the lowest rank is sent first
+  Duration deadline{0};           // time by which the client must get the final answer
+  bool queued = false;            // waits for a worker
+  bool streaming = false;         // the client has received the start of the response
+  bool over_quota = false;        // its units are not charged to the quota, or not yet
+  std::vector<Attempt> attempts;  // in the order of sending
 };
 
 }  // namespace ironquay
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -1,7 +1,7 @@
-// The settings that the routing and quota decisions read, decoded once when a gateway starts.
+// The settings for routing and quota decisions, decoded once when a gateway starts.
 //
-// The operators' settings object is the source of every value; src/config/settings_decoder.cpp maps its keys
-// to these fields.
+// Every value comes from the operators' settings object; src/config/settings_decoder.cpp maps its keys to
+// these fields.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,67 +12,71 @@
 
 // Whether a request may be executed again.
 enum class Idempotency {
-  idempotent,      // any number of times
-  keyed,           // workers discard repeats that carry the same idempotency key
-  non_idempotent,  // never
+  idempotent,      // it may be executed any number of times
+  keyed,           // it may be sent again, because workers discard repeats with the same idempotency key
+  non_idempotent,  // it must not be executed twice
 };
 
-// The workers among which the repeat of a keyed request is discarded.
+// The workers that share idempotency keys and therefore discard a repeat of a keyed request: all of them,
+// those in the zone, or those in the cell of the worker that executed it.
 enum class DedupScope { all, zone, cell };
 
+// A class of requests with common rules.
 struct Route {
   Idempotency idempotency = Idempotency::idempotent;
   DedupScope dedup_scope = DedupScope::all;
-  Duration dedup_window{0};  // for how long a worker remembers an idempotency key
-  Duration latency_objective{0};
-  Duration client_timeout{0};
-  double priority_weight = 0;   // value of a response within the latency objective
-  double late_value_share = 0;  // share of that value which a later response still earns
+  Duration dedup_window{0};       // how long a worker remembers an idempotency key
+  Duration latency_objective{0};  // counted from the client's first attempt; a later response has less value
+  Duration client_timeout{0};     // time after which the client stops waiting
+  double priority_weight = 0;     // value of a response within the latency objective
+  double late_value_share = 0;    // share of that value that a response after the latency objective has
 };
 
+// The quota of each customer on this plan, summed over all gateways.
 struct QuotaPlan {
-  double rate = 0;         // units per second for one customer, 0: unlimited
-  double burst = 0;        // units
-  int max_concurrent = 0;  // attempts in flight, 0: unlimited
-  double ceiling_rate = 0;
-  double ceiling_burst = 0;
-  double overage_value = 0;  // share of a request's value earned beyond the quota
-  double overage_cost = 0;   // share of a request's value charged beyond the quota
+  double rate = 0;           // units per second; 0: unlimited
+  double burst = 0;          // units; the most that unused quota accumulates
+  int max_concurrent = 0;    // attempts in flight; 0: unlimited
+  double ceiling_rate = 0;   // limit on units per second forwarded, even over quota; 0: no ceiling
+  double ceiling_burst = 0;  // units; the most that the unused ceiling accumulates
+  double overage_value = 0;  // share of a request's value that is earned if it is served over quota
+  double overage_cost = 0;   // share of a request's value that is charged if it is served over quota
 };
 
 // What the platform guarantees about workers and the endpoint list.
 struct ContractSettings {
-  double initial_capacity_share = 1;  // capacity of a worker that has just started, of its full one
-  Duration slow_start_window{0};      // time until it has its full capacity
-  Duration overload_window{0};        // time over which an overload makes a worker fail
-  Duration poll_deadline{0};          // age at which a polled endpoint list counts as out of date
+  double initial_capacity_share = 1;  // capacity of a newly started worker, as a share of its full capacity
+  Duration slow_start_window{0};      // time from its start until it has its full capacity
+  Duration overload_window{0};        // a worker fails if it is overloaded over this length of time
+  Duration poll_deadline{0};          // age at which a polled endpoint list is out of date
 };
 
 // What the platform permits a gateway to do.
 struct Capabilities {
-  bool cancel = false;   // cancel an attempt in flight
-  bool hedging = false;  // run two attempts of one request at a time
-  bool counter = false;  // call the counter service
-  bool retry_after = false;
-  bool polls_endpoints = false;  // the endpoint list is polled; otherwise it is pushed
-  int max_attempts = 1;          // per request
-  Duration max_retry_after{0};
-  Duration counter_timeout{0};
-  double gossip_rate_limit = 0;  // messages per second that a gateway accepts, 0: gossip is not permitted
+  bool cancel = false;           // cancel an attempt in flight
+  bool hedging = false;          // send hedged requests: several attempts of one request in flight at a time
+  bool counter = false;          // call the counter service
+  bool retry_after = false;      // advise rejected clients when to retry
+  bool polls_endpoints = false;  // true: the endpoint list is polled; false: it is pushed
+  int max_attempts = 1;          // attempts per request, including the first
+  Duration max_retry_after{0};   // the longest time after which clients may be advised to retry
+  Duration counter_timeout{0};   // time after which an unanswered call to the counter fails
+  double gossip_rate_limit = 0;  // messages per second that a gateway accepts; 0: gossip is not permitted
 };
 
+// All settings of the policy modules.
 struct PolicySettings {
   std::vector<Route> routes;
   std::vector<QuotaPlan> plans;
   ContractSettings contract;
   Capabilities capabilities;
-  int gateway_index = 0;  // this gateway's number, from 0
+  int gateway_index = 0;  // this gateway's index, from 0 to gateway_count - 1
   int gateway_count = 1;
-  std::string zone;
-  double max_units = 1;  // of one request
-  double cross_zone_cost = 0;
-  bool settles_units = false;  // responses report the units that a request really took
-  Duration tick{0};            // granularity of the platform's clock
+  std::string zone;                   // the zone of this gateway
+  double max_units = 1;               // the largest number of units that one request may use
+  double cross_zone_cost = 0;         // cost of an attempt at a worker in another zone; 0: free
+  bool reports_actual_units = false;  // responses report the units that a request actually used
+  Duration tick{0};                   // granularity of the platform's clock
 };
 
 }  // namespace ironquay
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -5,7 +5,7 @@
 
 namespace ironquay {
 
-// A length of time, or a point in time since the epoch of the clock that all gateways share.
+// A length of time, or a point in time counted from the epoch of the clock that all gateways share.
 using Duration = std::chrono::microseconds;
 using RequestId = std::uint64_t;
 using WorkerId = std::uint32_t;
@@ -15,20 +15,24 @@
   success,
   failure,             // the worker reported an error; the request may have been executed
   rejected,            // refused before execution: queue full or draining
-  timed_out,           // no response in time; the request may have been executed or may still be
-  connect_failed,      // never delivered
+  timed_out,           // no response in time; the request may have been or may still be executed
+  connect_failed,      // the request was not delivered
   connection_lost,     // the connection ended after the request was delivered; it may have been executed
-  malformed_response,  // executed, but the response cannot be used
-  // The outcomes from here on say nothing about the health of the worker.
-  cancelled,
-  not_sent,          // this gateway decided not to write the attempt
-  stale_connection,  // a reused connection had been closed by the worker
+  malformed_response,  // the worker executed the request, but its response cannot be used
+  // The outcomes below do not indicate the health of the worker.
+  cancelled,         // this gateway cancelled the attempt
+  not_sent,          // this gateway decided not to write the request to the connection
+  stale_connection,  // the worker had already closed the reused connection
   invalid_request,   // no worker can execute this request
 };
 
-enum class WorkerStatus { ready, draining, gone };
+enum class WorkerStatus {
+  ready,     // accepts requests
+  draining,  // shuts down gracefully and accepts no new requests
+  gone,      // no longer exists
+};
 
-// What a list of endpoints contains.
+// The contents of an endpoint list.
 enum class EndpointListKind {
   delta,   // the endpoints that changed
   full,    // every endpoint
--- a/test/main.cpp
+++ b/test/main.cpp
@@ -1,5 +1,8 @@
-// Runs the tests. Those listed in the file that KNOWN_RED names may fail, and have to: one that passes by now
-// fails the run, as it is no longer known to be red. A line of that file: test | cause | issue.
+// Runs the tests of a test program, taking into account those that are known to fail (known red tests).
+//
+// The environment variable KNOWN_RED names a file that lists them, one `test | cause | issue` a line. The run
+// succeeds if exactly the listed tests of the program fail. It also fails if a listed test passes, because
+// the list is then out of date. Without the variable or the file no test may fail.
 #define CATCH_CONFIG_RUNNER
 #include <catch2/catch.hpp>
 #include <cstdlib>
@@ -10,16 +13,18 @@
 
 namespace {
 
-struct Verdicts : Catch::TestEventListenerBase {
+// Collects the names of the tests that have failed and passed.
+struct TestResults : Catch::TestEventListenerBase {
   using TestEventListenerBase::TestEventListenerBase;
   void testCaseEnded(const Catch::TestCaseStats& stats) override {
-    (stats.totals.testCases.failed > 0 ? red : green).insert(stats.testInfo.name);
+    (stats.totals.testCases.failed > 0 ? failed : passed).insert(stats.testInfo.name);
   }
-  static inline std::set<std::string> red, green;
+  static inline std::set<std::string> failed, passed;
 };
-CATCH_REGISTER_LISTENER(Verdicts)
+CATCH_REGISTER_LISTENER(TestResults)
 
-std::set<std::string> known_red() {
+// Reads the names of the listed tests; empty without a list.
+std::set<std::string> read_known_red() {
   std::set<std::string> names;
   const char* path = std::getenv("KNOWN_RED");
   std::ifstream file(path ? path : "");
@@ -31,18 +36,19 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const int code = Catch::Session().run(argc, argv);
-  const std::set<std::string> known = known_red();
-  if (known.empty() || (Verdicts::red.empty() && code != 0)) return code;
-  bool good = true;
-  for (const std::string& name : Verdicts::red) {
+  const int exit_code = Catch::Session().run(argc, argv);
+  const std::set<std::string> known = read_known_red();
+  // An error code without a failed test means that the run itself failed.
+  if (known.empty() || (TestResults::failed.empty() && exit_code != 0)) return exit_code;
+  bool as_expected = true;
+  for (const std::string& name : TestResults::failed) {
     std::cout << (known.contains(name) ? "known red: " : "red: ") << name << "\n";
-    good = good && known.contains(name);
+    as_expected = as_expected && known.contains(name);
   }
-  for (const std::string& name : Verdicts::green) {
+  for (const std::string& name : TestResults::passed) {
     if (!known.contains(name)) continue;
     std::cout << "known red, but passes: " << name << "\n";
-    good = false;
+    as_expected = false;
   }
-  return good ? 0 : 1;
+  return as_expected ? 0 : 1;
 }
--- a/test/policy/quota_slice_test.cpp
+++ b/test/policy/quota_slice_test.cpp
@@ -65,7 +65,7 @@
 
 TEST_CASE("reported actual units are charged to the slice, even if its tokens become negative") {
   PolicySettings settings = default_settings();
-  settings.settles_units = true;
+  settings.reports_actual_units = true;
   Fixture fixture(settings);
   fixture.add_worker(7);
   Request& request = fixture.add_request(1, 0);
