--- a/src/policy/counter_health.cpp
+++ b/src/policy/counter_health.cpp
@@ -24,14 +24,15 @@
   // A failed call that was sent before the previous result came in does not count: when the counter falls
   // silent, all calls in flight time out, and together they are one failure.
   const Duration previous_result_at = unavailable_until_ - backoff_;
-  const bool counts = !inconclusive && (answered || sent_at >= previous_result_at);
-  if (counts) backoff_ = answered ? 0s : std::clamp<Duration>(2 * backoff_, kMinimumBackoff, kMaximumBackoff);
+  const bool affects_health = !inconclusive && (answered || sent_at >= previous_result_at);
+  if (affects_health)
+    backoff_ = answered ? 0s : std::clamp<Duration>(2 * backoff_, kMinimumBackoff, kMaximumBackoff);
   unavailable_until_ = now + backoff_;
 
   // A slow answer means that calls wait at the counter for about half of the time-out.
   const bool slow = now - sent_at > timeout_ / 2;
   if (answered && !slow) call_share_ = std::min(1.0, call_share_ + kCallShareIncrease);
-  if (counts && (slow || !answered)) {
+  if (affects_health && (slow || !answered)) {
     call_share_ = std::max(kMinimumCallShare, call_share_ * (answered ? kSlowFactor : kFailureFactor));
   }
 }
--- a/src/policy/quota_pool.cpp
+++ b/src/policy/quota_pool.cpp
@@ -93,6 +93,7 @@
   if (call.purpose != CounterPurpose::take_for_request) return std::nullopt;
 
   const Request* request = requests.find(call.request);
+  // The counter may have added the amount, but no valid total came back.
   const bool total_lost = reply.outcome == Outcome::connection_lost;
   const bool added = reply.outcome == Outcome::success || total_lost;
   if (added) {
@@ -106,7 +107,8 @@
   return PoolVerdict{call.request, slice->tokens >= needed, capped_retry_after(wait)};
 }
 
-// Moves the units of a take to the slice as far as the pool held them, and corrects the count otherwise.
+// Moves the units of a take to the slice if the pool held them. Otherwise it moves only the request's
+// shortfall, or nothing if the pool did not hold that either, and returns the rest of the take to the pool.
 // `total`: the count after the take, empty if it is unknown. `shortfall`: units that the waiting request
 // needs in addition to the slice's tokens.
 void QuotaPool::on_take_reply(const CounterCall& call, std::string_view name, std::optional<double> total,
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -67,7 +67,7 @@
   std::unordered_map<std::string, QuotaSlice> slices_;
 };
 
-// Converts the time after which a rejected client is advised to retry, and caps it at one minute.
+// Returns the time after which a rejected client is advised to retry: `seconds`, but at most one minute.
 Duration capped_retry_after(double seconds);
 
 }  // namespace ironquay
