--- a/src/config/settings_decoder.cpp
+++ b/src/config/settings_decoder.cpp
@@ -142,7 +142,7 @@
   policy.capabilities = decode_capabilities(settings, bounds, family_info);
   decoded.connection = decode_connection(bounds, family_info);
   policy.max_units = decoded.connection.max_units;
-  policy.settles_units = required<bool>(family_info, "settles");
+  policy.reports_actual_units = required<bool>(family_info, "settles");
   policy.cross_zone_cost = required<double>(required_section(settings, "tariffs"), "cross_zone");
   policy.gateway_index = required<int>(settings, "me");
   policy.gateway_count = required<int>(settings, "siblings");
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -20,7 +20,7 @@
 
   struct Lookup {
     QuotaSlice& slice;
-    bool created;
+    bool created;  // whether this lookup created the slice
   };
   // Returns the customer's slice and marks it as used now. A new slice starts with its full part of the
   // burst. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's gateways.
@@ -67,7 +67,7 @@
   std::unordered_map<std::string, QuotaSlice> slices_;
 };
 
-// Converts the time after which a rejected client is advised to retry, and caps it at one minute.
+// Returns the time after which a rejected client is advised to retry: `seconds`, but at most one minute.
 Duration capped_retry_after(double seconds);
 
 }  // namespace ironquay
