--- a/src/lab/cli/stub_command.cpp
+++ b/src/lab/cli/stub_command.cpp
@@ -60,7 +60,7 @@
   void run_stub(net::EventLoop& loop, const Scenario& scenario, Stub& stub) const {
     TimerSet faults(loop);
     for (const Fault& fault : scenario.faults)
-      if (concerns(fault, stub)) faults.run_in(fault.at, [&] { stub.inject(fault); });
+      if (concerns(fault, stub)) faults.run_in(fault.start_time, [&] { stub.inject(fault); });
     std::cout << stub.address() << std::endl;
     const RunLimit limit(loop, from_seconds(seconds_));
     loop.run();
--- a/src/lab/emulator/client_population.cpp
+++ b/src/lab/emulator/client_population.cpp
@@ -67,7 +67,7 @@
   double factor = 1;
   for (const Fault& fault : scenario_.faults) {
     if (fault.kind != FaultKind::burst || fault.plan != plan) continue;
-    const bool active = events_.now() >= fault.at && events_.now() < fault.at + fault.length;
+    const bool active = events_.now() >= fault.start_time && events_.now() < fault.start_time + fault.length;
     if (active) factor = std::max(factor, fault.factor);
   }
   return factor;
@@ -192,7 +192,7 @@
     return finish_session(session, outcome_of(response, events_.now() - session.started_at, route));
   --session.remaining_retries;
   const bool honours_retry_after =
-      response.retry_after > Duration(0) && choices_.chance(scenario_.clients.honours_retry_after);
+      response.retry_after > Duration(0) && choices_.chance(scenario_.clients.follow_retry_after_probability);
   const Duration delay =
       honours_retry_after ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
   events_.schedule_in(delay, [this, session] { send(session); });
--- a/src/lab/emulator/customer.cpp
+++ b/src/lab/emulator/customer.cpp
@@ -29,8 +29,8 @@
   customer.plan = plan;
   customer.gateway_spread = std::clamp(spread, 1, gateway_count);
   customer.first_gateway = static_cast<int>(random.below(static_cast<std::size_t>(gateway_count)));
-  customer.is_heavy = random.chance(demand.heavy_share);
-  const double quota_use = customer.is_heavy ? demand.heavy_use : demand.usual_use;
+  customer.is_heavy = random.chance(demand.heavy_customer_share);
+  const double quota_use = customer.is_heavy ? demand.heavy_quota_use : demand.normal_quota_use;
   customer.request_rate = quota.rate * quota_use / scenario.mean_units();
   customer.requested_bucket = TokenBucket(quota.rate, quota.burst, quota.burst, Duration(0));
   customer.forwarded_bucket = customer.requested_bucket;
--- a/src/lab/emulator/fault_injector.cpp
+++ b/src/lab/emulator/fault_injector.cpp
@@ -16,7 +16,7 @@
 
 void FaultInjector::start() {
   for (const Fault& fault : scenario_.faults)
-    events_.schedule_at(fault.at, [this, &fault] { inject(fault); });
+    events_.schedule_at(fault.start_time, [this, &fault] { inject(fault); });
 }
 
 void FaultInjector::inject(const Fault& fault) {
@@ -32,7 +32,7 @@
     case FaultKind::discovery_silent:
       return suspend_discovery(1, fault.length);
     case FaultKind::discovery_overloaded:
-      return suspend_discovery(fault.share, fault.length);
+      return suspend_discovery(fault.target_share, fault.length);
     case FaultKind::counter_refuse:
     case FaultKind::counter_silent:
     case FaultKind::counter_slow:
@@ -48,7 +48,7 @@
 // The workers that the fault names, or else a random fraction of all workers.
 std::vector<int> FaultInjector::choose_workers(const Fault& fault) {
   if (!fault.workers.empty()) return fault.workers;
-  return choose_indices(static_cast<std::size_t>(scenario_.workers.count), fault.share);
+  return choose_indices(static_cast<std::size_t>(scenario_.workers.count), fault.target_share);
 }
 
 // Chooses this fraction of the indices from 0 to `count` - 1 at random and returns them in ascending order.
@@ -90,7 +90,7 @@
 }
 
 void FaultInjector::restart_gateways(const Fault& fault) {
-  for (const int index : choose_indices(targets_.gateways.size(), fault.share)) {
+  for (const int index : choose_indices(targets_.gateways.size(), fault.target_share)) {
     EmulatedGateway& gateway = *targets_.gateways[static_cast<std::size_t>(index)];
     gateway.crash();
     events_.schedule_in(fault.length, [&gateway] { gateway.start(); });
--- a/src/lab/loadgen/request_factory.cpp
+++ b/src/lab/loadgen/request_factory.cpp
@@ -20,7 +20,7 @@
   std::vector<double> demands;
   for (std::size_t i = 0; i < scenario.plans.size(); ++i) {
     const PlanDemand& plan = scenario.plans[i];
-    demands.push_back(plan.customers * scenario.policy_settings.plans[i].rate * plan.usual_use);
+    demands.push_back(plan.customers * scenario.policy_settings.plans[i].rate * plan.normal_quota_use);
   }
   return demands;
 }
--- a/src/lab/scenario/scenario_error.hpp
+++ b/src/lab/scenario/scenario_error.hpp
@@ -1,4 +1,4 @@
-// The errors that the scenario parser reports.
+// Errors of the scenario parser.
 #pragma once
 #include <cstdint>
 #include <stdexcept>
@@ -7,14 +7,15 @@
 
 namespace ironquay::lab {
 
-// One mistake in a scenario file.
+// One error in a scenario file.
 struct ScenarioIssue {
-  std::uint32_t line = 0;  // from 1
-  std::string key;         // the key or table at fault; empty for the file's top level and for syntax errors
-  std::string message;     // complete, names the key where there is one
+  std::uint32_t line = 0;  // line number, starting at 1
+  std::string key;         // the invalid key or table; empty for syntax errors and for the file's top level
+  std::string message;     // includes the key
 };
 
-// Lists every mistake of a scenario file. what() has a line for each, as FILE:LINE: MESSAGE.
+// Thrown for an invalid scenario file. Contains all of its errors; what() has one line for each, in the form
+// FILE:LINE: MESSAGE.
 class ScenarioError : public std::runtime_error {
  public:
   ScenarioError(const std::string& file, std::vector<ScenarioIssue> issues)
--- a/src/lab/scenario/scenario_parser.cpp
+++ b/src/lab/scenario/scenario_parser.cpp
@@ -13,9 +13,9 @@
 using namespace std::chrono_literals;
 
 template <typename Value>
-using Names = std::map<std::string, Value, std::less<>>;
+using ValuesByName = std::map<std::string, Value, std::less<>>;
 
-const Names<FaultKind> kFaultKinds = {
+const ValuesByName<FaultKind> kFaultKinds = {
     {"worker-slow", FaultKind::worker_slow},
     {"worker-hang", FaultKind::worker_hang},
     {"worker-crash", FaultKind::worker_crash},
@@ -32,21 +32,22 @@
     {"burst", FaultKind::burst},
 };
 
-const Names<Idempotency> kIdempotencies = {
+const ValuesByName<Idempotency> kIdempotencies = {
     {"idempotent", Idempotency::idempotent},
     {"tokened", Idempotency::keyed},
     {"non-idempotent", Idempotency::non_idempotent},
 };
 
+// The upper bound of rates (per second), bursts (units) and weights.
 constexpr double kMaxRate = 1e9;
-// A smaller quota is as good as none.
+// Units per second. A quota below this is practically no quota at all.
 constexpr double kMinQuota = 1e-3;
-// Bursts and ceiling bursts default to this many seconds of their rates.
+// The default of a burst or ceiling burst is the number of units that its rate yields in this time.
 constexpr double kDefaultBurstSeconds = 4;
-constexpr NumberRange kFraction{0, 1};
-constexpr NumberRange kRate{0, kMaxRate};
+constexpr NumberRange kFractionRange{0, 1};
+constexpr NumberRange kRateRange{0, kMaxRate};
 
-// Granularity of the platform's clock.
+// The granularity of the platform's clock.
 constexpr Duration kTick = 2ms;
 
 void parse_gateways(TomlSection& section, Scenario& scenario) {
@@ -54,10 +55,10 @@
   settings.gateway_count = section.integer("many", 3, {1, 10'000});
   settings.capabilities.max_attempts = section.integer("tries", 6, {1, 100});
   settings.capabilities.cancel = section.boolean("cancel", true);
-  scenario.assignment.spread = section.number("spread", 1, kFraction);
+  scenario.assignment.spread = section.number("spread", 1, kFractionRange);
   scenario.assignment.skew = section.number("skew", 0.5, {0, 10});
   scenario.assignment.rotation_period = section.duration("shift_ms", 10s);
-  if (scenario.assignment.rotation_period <= Duration(0)) section.reject("shift_ms is nought");
+  if (scenario.assignment.rotation_period <= Duration(0)) section.reject("shift_ms must be greater than 0");
 }
 
 void parse_workers(TomlSection& section, Scenario& scenario) {
@@ -74,7 +75,7 @@
   workers.overload_multiple = section.number("fall_multiple", 4, {1, 1000});
   workers.drain_grace = section.duration("drain_grace_ms", 500ms);
   workers.connect_timeout = section.duration("connect_timeout_ms", 250ms);
-  if (contract.overload_window <= Duration(0)) section.reject("fall_ms is nought");
+  if (contract.overload_window <= Duration(0)) section.reject("fall_ms must be greater than 0");
 }
 
 void parse_network(TomlSection& section, Scenario& scenario) {
@@ -82,8 +83,8 @@
   network.one_way_latency = section.duration("one_way_ms", 1ms);
   network.discovery_delay = section.duration("list_late_ms", 1s);
   network.gossip_delay = section.duration("peer_late_ms", 15ms);
-  network.gossip_loss = section.number("peer_loss", 0.05, kFraction);
-  scenario.policy_settings.capabilities.gossip_rate_limit = section.number("peer_intake", 40, kRate);
+  network.gossip_loss = section.number("peer_loss", 0.05, kFractionRange);
+  scenario.policy_settings.capabilities.gossip_rate_limit = section.number("peer_intake", 40, kRateRange);
 }
 
 void parse_counter(TomlSection& section, Scenario& scenario) {
@@ -98,8 +99,8 @@
   PolicySettings& settings = scenario.policy_settings;
   clients.max_retries = section.integer("retries", 2, {0, 100});
   clients.backoff = section.duration("backoff_ms", 200ms);
-  clients.honours_retry_after = section.number("honours", 0.75, kFraction);
-  clients.abandon_probability = section.number("impatient", 0, kFraction);
+  clients.follow_retry_after_probability = section.number("honours", 0.75, kFractionRange);
+  clients.abandon_probability = section.number("impatient", 0, kFractionRange);
   settings.max_units = section.number("most_units", 8, {1, 1000});
   settings.capabilities.retry_after = section.boolean("advice", true);
   settings.capabilities.max_retry_after = section.duration("longest_advice_ms", 500ms);
@@ -108,7 +109,7 @@
 void parse_idempotency(TomlSection& section, Route& route) {
   const auto found = kIdempotencies.find(section.string("repeat", "idempotent"));
   if (found == kIdempotencies.end()) {
-    section.reject("repeat is none of idempotent, tokened, non-idempotent");
+    section.reject("repeat must be idempotent, tokened or non-idempotent");
   } else {
     route.idempotency = found->second;
   }
@@ -125,11 +126,11 @@
   traffic.mean_work = section.duration("work_ms", 100ms);
   route.latency_objective = section.duration("latency_target_ms", 1s);
   route.client_timeout = section.duration("client_timeout_ms", 3s);
-  route.priority_weight = section.number("billed_value", 1, kRate);
+  route.priority_weight = section.number("billed_value", 1, kRateRange);
   parse_idempotency(section, route);
-  if (traffic.mean_work <= Duration(0)) section.reject("has no work");
+  if (traffic.mean_work <= Duration(0)) section.reject("work_ms must be greater than 0");
   if (route.client_timeout < route.latency_objective)
-    section.reject("has a latency target past its client timeout");
+    section.reject("latency_target_ms must not exceed client_timeout_ms");
   scenario.policy_settings.routes.push_back(route);
   scenario.routes.push_back(traffic);
 }
@@ -139,14 +140,15 @@
   PlanDemand demand;
   demand.name = section.string("name", "plan");
   demand.customers = section.integer("customers", 10, {1, 1'000'000});
-  demand.usual_use = section.number("use", 0.5, {0, 100});
-  demand.heavy_share = section.number("heavy", 0, kFraction);
-  demand.heavy_use = section.number("heavy_use", 3, {0, 100});
+  demand.normal_quota_use = section.number("use", 0.5, {0, 100});
+  demand.heavy_customer_share = section.number("heavy", 0, kFractionRange);
+  demand.heavy_quota_use = section.number("heavy_use", 3, {0, 100});
   quota.rate = section.number("quota", 1, {kMinQuota, kMaxRate});
   quota.burst = section.number("burst", kDefaultBurstSeconds * quota.rate, {1, kMaxRate});
-  quota.ceiling_rate = section.number("ceiling", 0, kRate);
-  quota.ceiling_burst = section.number("ceiling_burst", kDefaultBurstSeconds * quota.ceiling_rate, kRate);
-  quota.overage_cost = section.number("beyond_costs", 0.8, kRate);
+  quota.ceiling_rate = section.number("ceiling", 0, kRateRange);
+  quota.ceiling_burst =
+      section.number("ceiling_burst", kDefaultBurstSeconds * quota.ceiling_rate, kRateRange);
+  quota.overage_cost = section.number("beyond_costs", 0.8, kRateRange);
   scenario.policy_settings.plans.push_back(quota);
   scenario.plans.push_back(demand);
 }
@@ -155,7 +157,7 @@
   for (const toml::node& node : section.array("workers")) {
     const auto index = node.value<int>();
     if (!node.is_integer() || !index || *index < 0 || *index >= scenario.workers.count)
-      section.reject(node, "workers", "names a worker that does not exist");
+      section.reject(node, "workers", "must contain indices of existing workers only");
     else
       fault.workers.push_back(*index);
   }
@@ -166,28 +168,28 @@
   if (name.empty()) return;
   const auto plan = std::find_if(scenario.plans.begin(), scenario.plans.end(),
                                  [&](const PlanDemand& candidate) { return candidate.name == name; });
-  if (plan == scenario.plans.end()) section.reject("names a plan that does not exist: '" + name + "'");
+  if (plan == scenario.plans.end()) section.reject("unknown plan '" + name + "'");
   fault.plan = static_cast<std::size_t>(plan - scenario.plans.begin());
 }
 
-// Faults refer to workers and plans, so these must have been parsed.
+// Must be called after the workers and plans have been parsed, because faults refer to them.
 void parse_fault(TomlSection& section, Scenario& scenario) {
   Fault fault;
   const std::string kind = section.string("kind", "");
   const auto found = kFaultKinds.find(kind);
   if (found == kFaultKinds.end()) {
-    section.reject("has no known kind: '" + kind + "'");
+    section.reject("unknown kind '" + kind + "'");
   } else {
     fault.kind = found->second;
   }
-  fault.at = section.duration("at_ms", Duration(0));
+  fault.start_time = section.duration("at_ms", Duration(0));
   fault.length = section.duration("length_ms", 1s);
-  fault.share = section.number("part", 0, kFraction);
+  fault.target_share = section.number("part", 0, kFractionRange);
   fault.factor = section.number("factor", 1, {0, 1000});
   fault.clears_counter = section.boolean("empty", false);
   parse_fault_workers(section, scenario, fault);
   parse_fault_plan(section, scenario, fault);
-  if (fault.at > scenario.length) section.reject("comes after the end");
+  if (fault.start_time > scenario.length) section.reject("at_ms must not exceed the length of the run");
   scenario.faults.push_back(fault);
 }
 
@@ -202,7 +204,7 @@
   };
   scenario.name = top.string("name", "unnamed");
   scenario.length = top.duration("length_ms", 10s);
-  if (scenario.length <= Duration(0)) top.reject("length_ms is nought");
+  if (scenario.length <= Duration(0)) top.reject("length_ms must be greater than 0");
   scenario.policy_settings.tick = kTick;
   scenario.policy_settings.reports_actual_units = false;
   parse_table("gatekeepers", parse_gateways);
@@ -213,8 +215,8 @@
   parse_tables("route", parse_route);
   parse_tables("plan", parse_plan);
   parse_tables("fault", parse_fault);
-  if (scenario.routes.empty()) top.reject("there is no [[route]]");
-  if (scenario.plans.empty()) top.reject("there is no [[plan]]");
+  if (scenario.routes.empty()) top.reject("at least one [[route]] is required");
+  if (scenario.plans.empty()) top.reject("at least one [[plan]] is required");
 }
 
 toml::table parse_toml(std::string_view text, const std::string& file_name) {
--- a/src/lab/scenario/scenario_parser.hpp
+++ b/src/lab/scenario/scenario_parser.hpp
@@ -1,4 +1,5 @@
-// Reads scenarios from TOML files and checks them completely before anything runs.
+// Reads scenarios from TOML files and validates them completely, so that no run starts with an invalid
+// scenario.
 #pragma once
 #include <string>
 #include <string_view>
@@ -8,10 +9,12 @@
 
 namespace ironquay::lab {
 
-// `file_name` is used in messages only. Throws ScenarioError with all mistakes of the text.
+// Parses the text of a scenario file. `file_name` is used in error messages only. Throws ScenarioError with
+// all errors of the text.
 Scenario parse_scenario(std::string_view text, const std::string& file_name);
 
-// Throws std::runtime_error if the file cannot be read, otherwise as parse_scenario() does.
+// Reads and parses a scenario file. Throws std::runtime_error if the file cannot be read, and ScenarioError
+// if it is invalid.
 Scenario read_scenario_file(const std::string& path);
 
 }  // namespace ironquay::lab
--- a/src/lab/scenario/toml_section.hpp
+++ b/src/lab/scenario/toml_section.hpp
@@ -1,4 +1,4 @@
-// Typed, checked access to the tables of a TOML file.
+// Typed access to the tables of a TOML file, which collects errors instead of stopping at the first one.
 #pragma once
 #include <toml++/toml.h>
 
@@ -13,7 +13,7 @@
 
 namespace ironquay::lab {
 
-// The values that a key may have, both bounds included.
+// The range of valid values of a key, including both bounds.
 struct NumberRange {
   double min = 0;
   double max = 0;
@@ -23,11 +23,13 @@
   int max = 0;
 };
 
-// One table of a TOML file. The getters return the default for a key that is absent and record an issue for a
-// value that is wrong; the destructor records an issue for each key that no getter has read.
+// Reads one table of a TOML file. A getter returns the default if the key is absent, and records an issue if
+// the value is invalid. The destructor records an issue for each unknown key, that is, for each key that no
+// getter has read.
 class TomlSection {
  public:
-  // `name` prefixes the keys in messages; empty for the top level. `issues` must outlive this object.
+  // `name` is the prefix of the keys in messages and is empty for the top level of the file. `table` and
+  // `issues` must outlive this object.
   TomlSection(const toml::table& table, std::string name, std::vector<ScenarioIssue>& issues);
   ~TomlSection();
   TomlSection(const TomlSection&) = delete;
@@ -35,15 +37,15 @@
 
   double number(const char* key, double default_value, NumberRange range);
   int integer(const char* key, int default_value, IntegerRange range);
-  // In milliseconds, an hour at most.
+  // Reads a duration, written in milliseconds. The maximum is one hour.
   Duration duration(const char* key, Duration default_value);
   bool boolean(const char* key, bool default_value);
   std::string string(const char* key, const std::string& default_value);
-  // The elements of an array; empty if it is absent.
+  // Returns the elements of an array, or none if it is absent or invalid.
   const toml::array& array(const char* key);
-  // A nested table; empty if it is absent.
+  // Returns a nested table, or an empty one if it is absent or invalid.
   const toml::table& table(const char* key);
-  // Calls `parse` with a section for each table of an array of tables.
+  // Calls `parse` with a TomlSection for each table of an array of tables.
   template <typename Parse>
   void for_each_table(const char* key, Parse parse) {
     std::size_t index = 0;
@@ -53,19 +55,22 @@
         TomlSection section(*table, name, issues_);
         parse(section);
       } else {
-        add_issue(node.source(), name, name + " is no table");
+        add_issue(node.source(), name, name + " must be a table");
       }
     }
   }
 
-  // Records an issue with one key's value, or with this section. `reason` continues the key's or the
-  // section's name.
+  // Records an issue with the value of one key, at the line of `node`. The message is the key followed by
+  // `reason`, a predicate such as "must be a number".
   void reject(const toml::node& node, const char* key, const std::string& reason);
+  // Records an issue with the whole section, at its line. `reason` is a complete clause.
   void reject(const std::string& reason);
 
  private:
-  std::string qualified(std::string_view key) const;
-  const toml::node* read(const char* key);
+  // The key with the section's name as its prefix.
+  std::string qualified_key(std::string_view key) const;
+  // Returns the node of a key, or null if it is absent, and marks the key as read.
+  const toml::node* read_node(const char* key);
   void add_issue(const toml::source_region& source, const std::string& key, const std::string& message);
 
   const toml::table& table_;
--- a/test/lab/invariant_checker_test.cpp
+++ b/test/lab/invariant_checker_test.cpp
@@ -76,7 +76,7 @@
   const Scenario replacement =
       make_scenario("[[fault]]\nkind = \"replace\"\nat_ms = 500\nlength_ms = 100\nworkers = [0]\n");
   Scenario busy_replacement = replacement;
-  busy_replacement.plans[0].usual_use = 20;
+  busy_replacement.plans[0].normal_quota_use = 20;
   const Scenario ceiling = make_scenario("", "", "use = 4\nceiling = 10\n");
 
   const auto retry_elsewhere =
--- a/test/lab/scenario_test.cpp
+++ b/test/lab/scenario_test.cpp
@@ -1,4 +1,4 @@
-// The scenario parser and its messages.
+// Tests the scenario parser and its error messages.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -8,7 +8,7 @@
 namespace ironquay::lab {
 namespace {
 
-// Empty if there is nothing wrong.
+// Returns the parser's error message, or an empty string if the text is valid.
 std::string error_of(const std::string& text) {
   try {
     parse_scenario(text, "x.toml");
@@ -18,27 +18,28 @@
   return "";
 }
 
-TEST_CASE("a wrong scenario is refused with file, line and reason, each mistake on its line") {
+TEST_CASE("the error for an invalid scenario has a line with file, line number and reason for each issue") {
   CHECK(error_of(scenario_text("")) == "");
   CHECK(error_of("length_ms = ").substr(0, 9) == "x.toml:1:");
   CHECK(error_of(scenario_text("manny = 3")) == "x.toml:4: unknown key gatekeepers.manny");
-  CHECK(error_of(scenario_text("tries = \"six\"")) == "x.toml:4: gatekeepers.tries is no number");
-  CHECK(error_of(scenario_text("tries = 1.5")) == "x.toml:4: gatekeepers.tries is no whole number");
+  CHECK(error_of(scenario_text("tries = \"six\"")) == "x.toml:4: gatekeepers.tries must be a number");
+  CHECK(error_of(scenario_text("tries = 1.5")) == "x.toml:4: gatekeepers.tries must be an integer");
   CHECK(error_of(scenario_text("shift_ms = -1")) ==
-        "x.toml:4: gatekeepers.shift_ms is not within 0 and 3600000");
-  CHECK(error_of(scenario_text("shift_ms = nan")).find("is not within") != std::string::npos);
+        "x.toml:4: gatekeepers.shift_ms must be between 0 and 3600000");
+  CHECK(error_of(scenario_text("shift_ms = nan")).find("must be between") != std::string::npos);
   CHECK(error_of(scenario_text("[[fault]]\nkind = \"worker-hang\"\nworkers = [3, 10]\n")) ==
-        "x.toml:6: fault[0].workers names a worker that does not exist");
+        "x.toml:6: fault[0].workers must contain indices of existing workers only");
   CHECK(error_of(scenario_text("[[fault]]\nkind = \"comet\"\n")) ==
-        "x.toml:4: fault[0] has no known kind: 'comet'");
+        "x.toml:4: fault[0]: unknown kind 'comet'");
   const std::string good = scenario_text("");
   CHECK(error_of(std::string(good).replace(good.find("quota = 10"), 10, "quota = 0")) ==
-        "x.toml:12: plan[0].quota is not within 0.001 and 1000000000");
+        "x.toml:12: plan[0].quota must be between 0.001 and 1000000000");
   CHECK(error_of("length_ms = 1000\n[[plan]]\nx = 1\ny = 2\n") ==
-        "x.toml:3: unknown key plan[0].x\nx.toml:4: unknown key plan[0].y\nx.toml:1:  there is no [[route]]");
+        "x.toml:3: unknown key plan[0].x\nx.toml:4: unknown key plan[0].y\nx.toml:1: at least one [[route]] "
+        "is required");
 }
 
-TEST_CASE("a scenario's mistakes can be told apart by line and key") {
+TEST_CASE("each scenario issue has its line and key") {
   try {
     parse_scenario(scenario_text("manny = 3\ntries = 0\n[workers]\nfall_ms = 0\n"), "x.toml");
     FAIL("accepted");
@@ -50,7 +51,7 @@
     CHECK(error.issues()[1].key == "gatekeepers.manny");
     CHECK(error.issues()[2].line == 6);
     CHECK(error.issues()[2].key == "workers");
-    CHECK(error.issues()[2].message == "workers fall_ms is nought");
+    CHECK(error.issues()[2].message == "workers: fall_ms must be greater than 0");
   }
 }
 
