--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -1,4 +1,5 @@
-// Micro-benchmarks of the hot paths: parsers, the endpoint list, and a request through the load balancer.
+// Micro-benchmarks of the hot paths: the parsers, the endpoint list, and the load balancer's handling of a
+// request.
 #include <benchmark/benchmark.h>
 
 #include "net/json_splitter.hpp"
@@ -10,13 +11,14 @@
 
 using namespace std::chrono_literals;
 
-const std::string kFields = "c=lookup,t=team,d=480,units=2,spread=3,first=1";
+const std::string kRequestFields = "c=lookup,t=team,d=480,units=2,spread=3,first=1";
 
 void parse_command(benchmark::State& state) {
   std::string text;
   net::resp::append_array_header(text, 4);
-  for (const std::string_view word : {"CALL.GET", "00000000b4d65521", "9b1f03aa5c7e2d41", kFields.c_str()})
-    net::resp::append_bulk_string(text, word);
+  for (const std::string_view argument :
+       {"CALL.GET", "00000000b4d65521", "9b1f03aa5c7e2d41", kRequestFields.c_str()})
+    net::resp::append_bulk_string(text, argument);
   for ([[maybe_unused]] auto _ : state) {
     net::resp::Command command;
     benchmark::DoNotOptimize(net::resp::parse_command(text, command));
@@ -55,8 +57,8 @@
 }
 BENCHMARK(split_endpoint_list)->Arg(200);
 
-// Remembers where the last attempt was sent, and does nothing.
-struct NullEffects : Effects {
+// Ignores all effects, except that it records the worker of the last attempt.
+struct RecordingEffects : Effects {
   void send_attempt(RequestId, WorkerId worker, Duration) override { last_worker = worker; }
   void reject(RequestId, Duration) override {}
   void fail(RequestId) override {}
@@ -73,7 +75,8 @@
   WorkerId last_worker = 0;
 };
 
-// A request within its quota, sent to one of the given number of workers and served.
+// Measures the load balancer's handling of a request that is within its quota and succeeds at the first
+// attempt. The argument is the number of workers.
 void serve_request(benchmark::State& state) {
   PolicySettings settings;
   settings.routes.resize(1);
@@ -85,7 +88,7 @@
   settings.plans = {plan};
   settings.capabilities.max_attempts = 6;
   settings.tick = 2ms;
-  NullEffects effects;
+  RecordingEffects effects;
   LoadBalancer balancer(settings, 1, 0s, effects);
   balancer.on_endpoint_list_begin(0s, EndpointListKind::full);
   for (WorkerId id = 1; id <= static_cast<WorkerId>(state.range(0)); ++id)
--- a/src/lab/cli/command.hpp
+++ b/src/lab/cli/command.hpp
@@ -1,4 +1,4 @@
-// What the sub-commands of ironquay-lab share.
+// The interface of the sub-commands of ironquay-lab, and the exit codes that they share.
 #pragma once
 #include <CLI/CLI.hpp>
 #include <memory>
@@ -7,17 +7,17 @@
 
 // Exit codes.
 constexpr int kSuccess = 0;
-constexpr int kUsageError = 2;          // a wrong command line or input file
-constexpr int kInvariantViolation = 3;  // the run was made, and a gateway violated an invariant in it
+constexpr int kUsageError = 2;          // the command line or an input file is invalid
+constexpr int kInvariantViolation = 3;  // the runs completed, but a gateway violated an invariant
 
-// A sub-command. Its constructor adds it with its options to the program's command line.
+// A sub-command. The constructor of a derived class adds the sub-command and its options to the command line.
 class Command {
  public:
   virtual ~Command() = default;
-  // Whether the command line has asked for this one.
+  // Whether the parsed command line contains this sub-command.
   bool is_selected() const { return subcommand_->parsed(); }
-  // Runs with the options of the command line and returns the exit code. Throws std::runtime_error for wrong
-  // input.
+  // Runs the sub-command with the options of the parsed command line and returns the exit code. Throws
+  // std::runtime_error if the input is invalid.
   virtual int run() = 0;
 
  protected:
@@ -29,6 +29,7 @@
   CLI::App* subcommand_;
 };
 
+// Each of these functions adds one sub-command to `program`, which must outlive the returned object.
 std::unique_ptr<Command> make_emulate_command(CLI::App& program);
 std::unique_ptr<Command> make_report_command(CLI::App& program);
 std::unique_ptr<Command> make_stub_command(CLI::App& program);
--- a/src/lab/cli/emulate_command.cpp
+++ b/src/lab/cli/emulate_command.cpp
@@ -12,32 +12,38 @@
 class EmulateCommand : public Command {
  public:
   explicit EmulateCommand(CLI::App& program)
-      : Command(program.add_subcommand("emulate",
-                                       "Run a scenario in simulated time; a line of JSON for each seed")) {
+      : Command(program.add_subcommand(
+            "emulate", "Run a scenario in simulated time and print one line of JSON per seed")) {
     CLI::App& options = subcommand();
-    options.add_option("SCENARIO", file_, "TOML file, see docs/laboratory.md")->required();
-    options.add_option("--seed", first_seed_, "the first seed")->capture_default_str();
-    options.add_option("--seeds", seeds_, "how many")->capture_default_str()->check(CLI::Range(1, 10000));
-    options.add_option("--scale", scale_, "gatekeepers, workers, customers and counter, so many times over")
+    options.add_option("SCENARIO", scenario_file_, "scenario, a TOML file; see docs/laboratory.md")
+        ->required();
+    options.add_option("--seed", first_seed_, "first seed")->capture_default_str();
+    options.add_option("--seeds", seed_count_, "number of consecutive seeds")
+        ->capture_default_str()
+        ->check(CLI::Range(1, 10000));
+    options
+        .add_option("--scale", scale_factor_,
+                    "factor for the numbers of gateways, workers and customers and for the counter's rate")
         ->capture_default_str()
         ->check(CLI::Range(1, 1000));
     options.add_flag("--slices-alone", slices_alone_,
-                     "the plain baseline: local slices, no pool on the counter");
+                     "baseline without the counter: only local quota slices, no pooled share");
   }
 
   int run() override {
-    Scenario scenario = read_scenario_file(file_);
-    scale(scenario, scale_);
+    Scenario scenario = read_scenario_file(scenario_file_);
+    scale(scenario, scale_factor_);
     if (slices_alone_) scenario.policy_settings.capabilities.counter = false;
-    int code = kSuccess;
-    for (int i = 0; i < seeds_; ++i) {
+    int exit_code = kSuccess;
+    for (int i = 0; i < seed_count_; ++i) {
       const auto figures = run_seed(scenario, first_seed_ + static_cast<std::uint32_t>(i));
-      if (report_violation(figures)) code = kInvariantViolation;
+      if (report_violation(figures)) exit_code = kInvariantViolation;
     }
-    return code;
+    return exit_code;
   }
 
  private:
+  // Runs the scenario with one seed and prints its figures.
   nlohmann::ordered_json run_seed(const Scenario& scenario, std::uint32_t seed) const {
     auto figures = emulate(scenario, seed);
     figures["variant"] = slices_alone_ ? "slices alone" : "pool";
@@ -46,19 +52,21 @@
     return figures;
   }
 
+  // Prints the first invariant violation of a run, if any, to standard error. Returns whether there is one.
   bool report_violation(const nlohmann::ordered_json& figures) const {
     const auto& violation = figures["broken"];
     if (violation.is_null()) return false;
-    std::cerr << file_ << ": seed " << figures["seed"]
-              << ": rule broken: " << violation["rule"].get<std::string>() << ", at " << violation["at_s"]
-              << " s, call " << violation["call"] << ", worker " << violation["worker"] << "\n";
+    std::cerr << scenario_file_ << ": seed " << figures["seed"]
+              << ": invariant violated: " << violation["rule"].get<std::string>() << ", at "
+              << violation["at_s"] << " s, request " << violation["call"] << ", worker "
+              << violation["worker"] << "\n";
     return true;
   }
 
-  std::string file_;
+  std::string scenario_file_;
   std::uint32_t first_seed_ = 1;
-  int seeds_ = 1;
-  int scale_ = 1;
+  int seed_count_ = 1;
+  int scale_factor_ = 1;
   bool slices_alone_ = false;
 };
 
--- a/src/lab/cli/interruption.cpp
+++ b/src/lab/cli/interruption.cpp
@@ -7,6 +7,7 @@
 
 using namespace std::chrono_literals;
 
+// The interval at which RunLimit checks whether the time is over or a signal was received.
 constexpr Duration kCheckInterval = 100ms;
 
 std::atomic<bool> interrupted = false;
--- a/src/lab/cli/interruption.hpp
+++ b/src/lab/cli/interruption.hpp
@@ -1,4 +1,4 @@
-// Orderly ends of commands that run on sockets.
+// Ends commands that run an event loop after a time limit or on SIGINT and SIGTERM.
 #pragma once
 #include <atomic>
 
@@ -7,10 +7,11 @@
 
 namespace ironquay::lab {
 
-// From the first call on, SIGINT and SIGTERM set the flag that is returned instead of ending the process.
+// Returns a flag that SIGINT and SIGTERM set. From the first call on, these signals no longer end the
+// process.
 const std::atomic<bool>& interruption_flag();
 
-// Stops an event loop after a time, or soon after a signal.
+// Stops an event loop after `length`, or after SIGINT or SIGTERM. Checks for both every 100 ms.
 class RunLimit {
  public:
   // `loop` must outlive this object.
--- a/src/lab/cli/load_command.cpp
+++ b/src/lab/cli/load_command.cpp
@@ -1,4 +1,4 @@
-// ironquay-lab load: puts load on gateways.
+// ironquay-lab load: sends requests to gateways at a given rate.
 #include <iostream>
 #include <nlohmann/json.hpp>
 
@@ -17,37 +17,41 @@
 class LoadCommand : public Command {
  public:
   explicit LoadCommand(CLI::App& program)
-      : Command(program.add_subcommand("load",
-                                       "Open-loop load on gatekeepers; latency counts from the schedule")) {
+      : Command(program.add_subcommand(
+            "load", "Send open-loop load to gateways; latency is measured from the scheduled time")) {
     plan_.max_requests = kDefaultMaxRequests;
     CLI::App& options = subcommand();
-    options.add_option("SCENARIO", file_, "TOML file: routes, plans and units are taken from it")->required();
     options
-        .add_option("--target", targets_, "address of a gatekeeper in 127.0.0.0/8, in order of their numbers")
+        .add_option("SCENARIO", scenario_file_, "scenario, a TOML file; its routes, plans and units are used")
         ->required();
-    options.add_option("--rate", plan_.rate, "API calls a second")
+    options
+        .add_option("--target", target_addresses_,
+                    "address of a gateway in 127.0.0.0/8; repeat in the order of the gateways' indices")
+        ->required();
+    options.add_option("--rate", plan_.rate, "requests per second")
         ->capture_default_str()
         ->check(CLI::Range(0.1, 20000.0));
-    options.add_option("--seconds", seconds_, "for how long")
+    options.add_option("--seconds", duration_seconds_, "duration in seconds")
         ->capture_default_str()
         ->check(CLI::Range(0.1, 3600.0));
-    options.add_option("--most", plan_.max_requests, "API calls in all")->capture_default_str();
-    options.add_option("--seed", plan_.seed, "of the schedule")->capture_default_str();
+    options.add_option("--most", plan_.max_requests, "maximum number of requests")->capture_default_str();
+    options.add_option("--seed", plan_.seed, "seed of the schedule")->capture_default_str();
   }
 
   int run() override {
-    for (const std::string& target : targets_) plan_.targets.push_back(parse_loopback_address(target));
-    const Scenario scenario = read_scenario_file(file_);
-    plan_.length = from_seconds(seconds_);
+    for (const std::string& target : target_addresses_)
+      plan_.targets.push_back(parse_loopback_address(target));
+    const Scenario scenario = read_scenario_file(scenario_file_);
+    plan_.length = from_seconds(duration_seconds_);
     net::EventLoop loop;
     std::cout << generate_load(loop, scenario, plan_, interruption_flag()).dump() << std::endl;
     return kSuccess;
   }
 
  private:
-  std::string file_;
-  std::vector<std::string> targets_;
-  double seconds_ = 10;
+  std::string scenario_file_;
+  std::vector<std::string> target_addresses_;
+  double duration_seconds_ = 10;
   LoadPlan plan_;
 };
 
--- a/src/lab/cli/main.cpp
+++ b/src/lab/cli/main.cpp
@@ -1,4 +1,5 @@
-// ironquay-lab: experiments with gateways, in simulated time and on loopback sockets. See docs/laboratory.md.
+// ironquay-lab runs experiments with gateways, in simulated time or on loopback sockets. See
+// docs/laboratory.md.
 #include <CLI/CLI.hpp>
 #include <iostream>
 #include <memory>
@@ -23,9 +24,9 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): what is not caught is a fault of the program, and ends it.
+// NOLINTNEXTLINE(bugprone-exception-escape): other exceptions are defects of the program and terminate it.
 int main(int argc, char** argv) {
-  CLI::App program("Ironquay's laboratory");
+  CLI::App program("Experiments with Ironquay gateways");
   program.require_subcommand(1);
   const auto commands = make_commands(program);
   try {
--- a/src/lab/cli/report_command.cpp
+++ b/src/lab/cli/report_command.cpp
@@ -1,4 +1,4 @@
-// ironquay-lab report: compares emulator runs.
+// ironquay-lab report: prints a comparison of emulator runs.
 #include <iostream>
 
 #include "lab/cli/command.hpp"
@@ -10,19 +10,19 @@
 class ReportCommand : public Command {
  public:
   explicit ReportCommand(CLI::App& program)
-      : Command(program.add_subcommand("report", "Compare runs over their seeds, as Markdown")) {
+      : Command(program.add_subcommand("report", "Print a comparison of emulator runs as Markdown")) {
     CLI::App& options = subcommand();
-    options.add_option("RUN", files_, "files of JSON lines as emulate prints them")->required();
-    options.add_option("--plots", plot_folder_, "folder for data and gnuplot files");
+    options.add_option("RUN", run_files_, "files with the output of emulate")->required();
+    options.add_option("--plots", plot_folder_, "folder for gnuplot and data files");
   }
 
   int run() override {
-    write_report(files_, plot_folder_, std::cout);
+    write_report(run_files_, plot_folder_, std::cout);
     return kSuccess;
   }
 
  private:
-  std::vector<std::string> files_;
+  std::vector<std::string> run_files_;
   std::string plot_folder_;
 };
 
--- a/src/lab/cli/stub_command.cpp
+++ b/src/lab/cli/stub_command.cpp
@@ -19,24 +19,29 @@
 class StubCommand : public Command {
  public:
   explicit StubCommand(CLI::App& program)
-      : Command(program.add_subcommand("stand-in", "Play a worker, the counter or discovery on loopback")) {
+      : Command(program.add_subcommand(
+            "stand-in", "Run a stub of a worker, the counter or the discovery agent on loopback")) {
     CLI::App& options = subcommand();
     options.add_option("KIND", kind_, "worker, counter or discovery")
         ->required()
         ->check(CLI::IsMember({"worker", "counter", "discovery"}));
-    options.add_option("SCENARIO", file_, "TOML file: workers and faults are taken from it")->required();
-    options.add_option("--listen", listen_, "address in 127.0.0.0/8, port 0 for any")->capture_default_str();
-    options.add_option("--number", worker_index_, "which of the scenario's workers it is")
+    options.add_option("SCENARIO", scenario_file_, "scenario, a TOML file; its workers and faults are used")
+        ->required();
+    options.add_option("--listen", listen_address_, "address in 127.0.0.0/8; port 0 selects a free port")
         ->capture_default_str();
-    options.add_option("--worker", worker_addresses_, "discovery: the address of a worker, for each one");
-    options.add_option("--seconds", seconds_, "ends by itself after so long")
+    options
+        .add_option("--number", worker_index_, "index of the worker in the scenario, from 0 (worker only)")
+        ->capture_default_str();
+    options.add_option("--worker", worker_addresses_,
+                       "address of a worker; repeat for each worker (discovery only)");
+    options.add_option("--seconds", duration_seconds_, "time in seconds after which the stub exits")
         ->capture_default_str()
         ->check(CLI::Range(0.1, 86400.0));
   }
 
   int run() override {
-    const Scenario scenario = read_scenario_file(file_);
-    const net::Address address = parse_loopback_address(listen_);
+    const Scenario scenario = read_scenario_file(scenario_file_);
+    const net::Address address = parse_loopback_address(listen_address_);
     net::EventLoop loop;
     if (kind_ == "worker") {
       StubWorker worker(loop, address, scenario, static_cast<std::uint32_t>(worker_index_ + 1));
@@ -55,31 +60,32 @@
   }
 
  private:
-  // Injects the scenario's faults, counted from now, until the time is over.
+  // Prints the stub's address and runs the loop until the time limit or a signal. Injects the scenario's
+  // faults at their times after the start of the loop.
   template <typename Stub>
   void run_stub(net::EventLoop& loop, const Scenario& scenario, Stub& stub) const {
     TimerSet faults(loop);
     for (const Fault& fault : scenario.faults)
-      if (concerns(fault, stub)) faults.run_in(fault.start_time, [&] { stub.inject(fault); });
+      if (affects(fault, stub)) faults.run_in(fault.start_time, [&] { stub.inject(fault); });
     std::cout << stub.address() << std::endl;
-    const RunLimit limit(loop, from_seconds(seconds_));
+    const RunLimit limit(loop, from_seconds(duration_seconds_));
     loop.run();
   }
 
-  // A fault may name the workers that it concerns.
-  bool concerns(const Fault& fault, const StubWorker&) const {
+  // A fault that names no workers affects every worker.
+  bool affects(const Fault& fault, const StubWorker&) const {
     return fault.workers.empty() ||
            std::find(fault.workers.begin(), fault.workers.end(), worker_index_) != fault.workers.end();
   }
-  static bool concerns(const Fault&, const StubCounter&) { return true; }
-  static bool concerns(const Fault&, const StubDiscoveryAgent&) { return true; }
+  static bool affects(const Fault&, const StubCounter&) { return true; }
+  static bool affects(const Fault&, const StubDiscoveryAgent&) { return true; }
 
   std::string kind_;
-  std::string file_;
-  std::string listen_ = "127.0.0.1:0";
+  std::string scenario_file_;
+  std::string listen_address_ = "127.0.0.1:0";
   int worker_index_ = 0;
   std::vector<std::string> worker_addresses_;
-  double seconds_ = 600;
+  double duration_seconds_ = 600;
 };
 
 }  // namespace
--- a/src/lab/report/confidence_interval.cpp
+++ b/src/lab/report/confidence_interval.cpp
@@ -6,7 +6,7 @@
 namespace ironquay::lab {
 namespace {
 
-// Of the two-sided interval with 95% confidence.
+// The quantile of the upper bound of a two-sided interval with 95% confidence.
 constexpr double kUpperQuantile = 0.975;
 
 }  // namespace
--- a/src/lab/report/confidence_interval.hpp
+++ b/src/lab/report/confidence_interval.hpp
@@ -6,12 +6,13 @@
 
 struct ConfidenceInterval {
   double mean = 0;
-  double low = 0;
-  double high = 0;
+  double low = 0;   // lower bound
+  double high = 0;  // upper bound
   bool contains_zero() const { return low <= 0 && high >= 0; }
 };
 
-// Of the mean, with 95% confidence, by Student's t distribution. Needs two values at least.
+// Returns the 95% confidence interval of the mean of the values' distribution, based on Student's t
+// distribution. Requires at least two values.
 ConfidenceInterval mean_confidence_interval(const std::vector<double>& values);
 
 }  // namespace ironquay::lab
--- a/src/lab/report/plot_writer.cpp
+++ b/src/lab/report/plot_writer.cpp
@@ -10,28 +10,31 @@
 namespace ironquay::lab {
 namespace {
 
-// Index of the heavy customers' forwarded units in an element of "per_second".
-constexpr std::size_t kHeavyUnits = 3;
+// The index of the units forwarded for heavy customers in an element of "per_second".
+constexpr std::size_t kHeavyUnitsIndex = 3;
+// The lower bound of a divisor, in units per second. It avoids 0/0 in a scenario without heavy customers.
 constexpr double kMinQuota = 1e-9;
 
+// The name of the group's data file, without its extension.
 std::string data_name(const RunGroup& group) {
   return group.scenario + "-" + std::to_string(group.gateways) + "-" +
          (group.variant == "pool" ? "pool" : "slices");
 }
 
-double heavy_share(const Run& run, std::size_t second) {
-  const double units = run.at("per_second").at(second).at(kHeavyUnits).get<double>();
+// The units that were forwarded for heavy customers in that second, divided by their quota.
+double heavy_customers_quota_use(const Run& run, std::size_t second) {
+  const double units = run.at("per_second").at(second).at(kHeavyUnitsIndex).get<double>();
   return units / std::max(kMinQuota, run.at("heavy_quota").get<double>());
 }
 
 void write_data(const std::string& path, const RunsBySeed& runs) {
   std::ofstream data(path);
   const std::size_t seconds = runs.begin()->second.at("per_second").size();
-  // The last second is not complete.
+  // Omits the last element, because it does not cover a whole second.
   for (std::size_t second = 0; second + 1 < seconds; ++second) {
-    std::vector<double> shares;
-    for (const auto& [seed, run] : runs) shares.push_back(heavy_share(run, second));
-    data << second << " " << format_number(interpolated_quantile(shares, 0.5)) << "\n";
+    std::vector<double> quota_uses;
+    for (const auto& [seed, run] : runs) quota_uses.push_back(heavy_customers_quota_use(run, second));
+    data << second << " " << format_number(interpolated_quantile(quota_uses, 0.5)) << "\n";
   }
 }
 
--- a/src/lab/report/plot_writer.hpp
+++ b/src/lab/report/plot_writer.hpp
@@ -1,4 +1,4 @@
-// gnuplot files for the report.
+// Writes the gnuplot files of the report.
 #pragma once
 #include <string>
 
@@ -6,8 +6,9 @@
 
 namespace ironquay::lab {
 
-// Writes SCENARIO.gp and a data file for each group of the scenario's runs into the folder: the units that
-// heavy customers got in each second, over their quota. Throws std::runtime_error if that fails.
+// Writes SCENARIO.gp and one data file for each group of the scenario's runs into `folder`. A data file
+// contains, for each second, the units that were forwarded for heavy customers, divided by their quota
+// (median over the seeds). Throws std::runtime_error if SCENARIO.gp cannot be written.
 void write_plot(const std::string& scenario, const Runs& runs, const std::string& folder);
 
 }  // namespace ironquay::lab
--- a/src/lab/report/run_reader.cpp
+++ b/src/lab/report/run_reader.cpp
@@ -6,13 +6,14 @@
 namespace ironquay::lab {
 namespace {
 
+// Parses a line and adds its run. Throws std::exception if the line is not a valid run.
 void add_run(const std::string& line, const std::vector<std::string>& required_figures, Runs& runs) {
   Run run = Run::parse(line, nullptr, false);
   for (const std::string& figure : required_figures) run.at(figure).get<double>();
   const RunGroup group{run.at("scenario"), run.at("gatekeepers"), run.at("variant")};
   const auto seed = run.at("seed").get<std::uint64_t>();
   if (!runs[group].emplace(seed, std::move(run)).second)
-    throw std::runtime_error("seed " + std::to_string(seed) + " stands there twice");
+    throw std::runtime_error("duplicate seed " + std::to_string(seed));
 }
 
 void read_file(const std::string& file, const std::vector<std::string>& required_figures, Runs& runs) {
@@ -24,7 +25,7 @@
     try {
       add_run(text, required_figures, runs);
     } catch (const std::exception& error) {
-      throw std::runtime_error(file + ":" + std::to_string(line) + ": no run: " + error.what());
+      throw std::runtime_error(file + ":" + std::to_string(line) + ": invalid run: " + error.what());
     }
   }
 }
@@ -34,7 +35,7 @@
 Runs read_runs(const std::vector<std::string>& files, const std::vector<std::string>& required_figures) {
   Runs runs;
   for (const std::string& file : files) read_file(file, required_figures, runs);
-  if (runs.empty()) throw std::runtime_error("no runs");
+  if (runs.empty()) throw std::runtime_error("the files contain no runs");
   return runs;
 }
 
--- a/src/lab/report/run_reader.hpp
+++ b/src/lab/report/run_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the results of emulator runs back.
+// Reads the results of emulator runs.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -9,7 +9,7 @@
 
 namespace ironquay::lab {
 
-// What runs have in common that differ only in their seeds.
+// The properties that the runs of a group share. The runs of a group differ only in their seeds.
 struct RunGroup {
   std::string scenario;
   int gateways = 0;
@@ -19,13 +19,14 @@
   }
 };
 
-// One run's object, as emulate() made it.
+// The figures of one run, as emulate() returns them.
 using Run = nlohmann::json;
 using RunsBySeed = std::map<std::uint64_t, Run>;
 using Runs = std::map<RunGroup, RunsBySeed>;
 
-// Throws std::runtime_error with file, line and reason: a file cannot be read, a line is not a run that has
-// all the figures, a seed occurs twice in a group, or there are no runs.
+// Reads the runs of all files. Throws std::runtime_error if a file cannot be read, a line is not a run with
+// all the required figures, a seed occurs twice in a group, or there are no runs. what() names the file, and
+// the line of an invalid run.
 Runs read_runs(const std::vector<std::string>& files, const std::vector<std::string>& required_figures);
 
 }  // namespace ironquay::lab
--- a/test/lab/report_test.cpp
+++ b/test/lab/report_test.cpp
@@ -1,4 +1,4 @@
-// The report on emulator runs.
+// Tests the report on emulator runs.
 #include "lab/report/report.hpp"
 
 #include <unistd.h>
@@ -18,7 +18,7 @@
 namespace ironquay::lab {
 namespace {
 
-// Four seeds in two variants, which differ in the number of attempts only.
+// Writes the runs of four seeds in two variants, which differ in the number of attempts only.
 void write_runs(const std::string& path) {
   const Scenario scenario = make_scenario("");
   std::ofstream file(path);
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("a report says what differs, and that nothing does where nothing does") {
+TEST_CASE("a report contains the difference between variants, or \"no difference seen\" if it is zero") {
   const ConfidenceInterval interval = mean_confidence_interval({1, 2, 3, 4});
   CHECK(interval.mean == Approx(2.5));
   // The t distribution with three degrees of freedom.
@@ -44,9 +44,9 @@
   CHECK(out.str().find("tries 0.500 (0.500 to 0.500)") != std::string::npos);
   CHECK(out.str().find("served_inside no difference seen (0.000 to 0.000)") != std::string::npos);
   CHECK_THROWS_WITH(write_report({runs, runs}, "", out),
-                    Catch::Contains(runs + ":1: no run: seed 1 stands there twice"));
+                    Catch::Contains(runs + ":1: invalid run: duplicate seed 1"));
   std::ofstream(runs) << "{\"scenario\": 3}\n";
-  CHECK_THROWS_WITH(write_report({runs}, "", out), Catch::Contains(runs + ":1: no run"));
+  CHECK_THROWS_WITH(write_report({runs}, "", out), Catch::Contains(runs + ":1: invalid run"));
   std::remove(runs.c_str());
 }
 
