--- a/src/config/settings_decoder.hpp
+++ b/src/config/settings_decoder.hpp
@@ -26,10 +26,9 @@
 struct DecodedSettings {
   PolicySettings policy_settings;
   ConnectionSettings connection;
-  std::map<std::string, std::size_t, std::less<>>
-      route_index;  // route name to index in PolicySettings::routes
-  std::map<std::string, std::size_t, std::less<>> plan_index;  // plan name to index in PolicySettings::plans
-  std::size_t report_fields = 0;                               // number of values in a load report
+  std::map<std::string, std::size_t, std::less<>> route_index;  // index in PolicySettings::routes, by name
+  std::map<std::string, std::size_t, std::less<>> plan_index;   // index in PolicySettings::plans, by name
+  std::size_t report_fields = 0;                                // number of values in a load report
 };
 
 // Decodes the settings object and ignores unknown keys. Throws SettingsError if a required key is missing or
--- a/src/lab/report/run_reader.hpp
+++ b/src/lab/report/run_reader.hpp
@@ -19,7 +19,7 @@
   }
 };
 
-// The figures of one run, as emulate() returns them.
+// The figures of one run, as `ironquay-lab emulate` prints them.
 using Run = nlohmann::json;
 using RunsBySeed = std::map<std::uint64_t, Run>;
 using Runs = std::map<RunGroup, RunsBySeed>;
--- a/src/lab/scenario/scenario.hpp
+++ b/src/lab/scenario/scenario.hpp
@@ -13,7 +13,7 @@
 // index. Demand is expressed as a multiple of the quota rate: at 1, a customer requests exactly its quota.
 struct PlanDemand {
   std::string name;
-  int customers = 0;                // number of customers
+  int customers = 0;
   double normal_quota_use = 0;      // demand of a normal customer
   double heavy_customer_share = 0;  // probability that a customer is a heavy customer
   double heavy_quota_use = 0;       // demand of a heavy customer
@@ -46,7 +46,7 @@
 struct Fault {
   FaultKind kind = FaultKind::worker_slow;
   Duration start_time{0};  // time from the start of the run
-  Duration length{0};
+  Duration length{0};      // duration; for a replacement, the time in which all affected workers are replaced
   double target_share = 0;      // share of the workers or gateways that are affected, chosen at random
   std::vector<int> workers;     // indices of the affected workers; replaces target_share unless empty
   double factor = 1;            // FaultKind explains its meaning for each kind
@@ -62,8 +62,8 @@
 };
 
 struct WorkerModel {
-  int count = 0;                    // workers
-  int cores = 1;                    // cores per worker
+  int count = 0;
+  int cores = 1;                    // per worker
   std::size_t queue_limit = 0;      // requests per worker that may wait for a core
   int cell_size = 1;                // consecutive workers that share one store of idempotency keys
   bool runs_cancelled_work = true;  // whether a queued request is executed although its gateway cancelled it
--- a/src/lab/scenario/toml_section.hpp
+++ b/src/lab/scenario/toml_section.hpp
@@ -1,4 +1,4 @@
-// Typed access to the tables of a TOML file, which collects errors instead of stopping at the first one.
+// Typed access to the tables of a TOML file. Collects all errors instead of stopping at the first one.
 #pragma once
 #include <toml++/toml.h>
 
