--- a/test/net/client_connection_test.cpp
+++ b/test/net/client_connection_test.cpp
@@ -47,7 +47,8 @@
   REQUIRE(client.reaches_end());
   client.close();
   REQUIRE(deployment.gateway.logs("reason=malformed-request"));
-  TestConnection other = deployment.ready_client(), quitting = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
+  TestConnection quitting = deployment.ready_client();
   other.send(std::string(kPing) + "*0\r\n");
   REQUIRE(other.receives(std::string(kPong) + kProtocolError));
   REQUIRE(other.reaches_end());
@@ -90,7 +91,8 @@
 
 TEST_CASE("a request with the id of a request in flight is rejected without affecting that request") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), other = deployment.ready_client();
+  TestConnection client = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
   client.send(pay_request("1"));
   TestConnection worker = deployment.next_attempt().connection;
   other.send(pay_request("1"));
@@ -106,7 +108,8 @@
 
 TEST_CASE("a client that does not read its responses delays no other client and loses no response") {
   Deployment deployment(1);
-  TestConnection slow = deployment.ready_client(), other = deployment.ready_client();
+  TestConnection slow = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
   const std::string value(60000, 'x');
   TestConnection worker;
   int unread_responses = 0;
--- a/test/net/client_disconnect_test.cpp
+++ b/test/net/client_disconnect_test.cpp
@@ -54,7 +54,8 @@
 
 TEST_CASE("a client that reconnects and retries is served even if the retry is read before the disconnect") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), reconnected = deployment.ready_client();
+  TestConnection client = deployment.ready_client();
+  TestConnection reconnected = deployment.ready_client();
   TestConnection counter = deployment.counter.accept();
   const std::string request = small_plan_lookup("1");
   client.send(small_plan_lookup("0") + request);
@@ -69,7 +70,8 @@
 
 TEST_CASE("a retry of a forwarded non-idempotent request is rejected when its client reconnects") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), reconnected = deployment.ready_client();
+  TestConnection client = deployment.ready_client();
+  TestConnection reconnected = deployment.ready_client();
   client.send(pay_request("2"));
   TestConnection worker = deployment.next_attempt().connection;
   REQUIRE(!worker.receive_command().empty());
--- a/test/net/client_half_close_test.cpp
+++ b/test/net/client_half_close_test.cpp
@@ -30,14 +30,16 @@
   SECTION("no command") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
-      TestConnection ready = deployment.ready_client(), inactive = deployment.connect();
+      TestConnection ready = deployment.ready_client();
+      TestConnection inactive = deployment.connect();
       return late_request_is_not_reset(deployment, inactive, Clock::now(), kLingerTime);
     });
   }
   SECTION("incomplete command") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
-      TestConnection ready = deployment.ready_client(), partial = deployment.connect();
+      TestConnection ready = deployment.ready_client();
+      TestConnection partial = deployment.connect();
       partial.send(kPartialCommand);
       return late_request_is_not_reset(deployment, partial, Clock::now(), kLingerTime);
     });
--- a/test/net/client_limits_test.cpp
+++ b/test/net/client_limits_test.cpp
@@ -27,7 +27,8 @@
   Deployment deployment(4);
   deployment.limit_descriptors(64);  // 25 for clients, 15 for workers
   TestConnection first = deployment.ready_client();
-  std::vector<TestConnection> idle = deployment.ready_clients(40), workers;
+  std::vector<TestConnection> idle = deployment.ready_clients(40);
+  std::vector<TestConnection> workers;
   REQUIRE(first.reaches_end());
   REQUIRE(deployment.gateway.logs("reason=connection-limit"));
   // Every client connection that is still open sends a request. The gateway forwards 12 and queues the
@@ -47,7 +48,8 @@
   Deployment deployment(1);
   TestConnection partial = deployment.ready_client();
   partial.send(kPartialCommand);
-  TestConnection idle = deployment.ready_client(), inactive = deployment.connect();
+  TestConnection idle = deployment.ready_client();
+  TestConnection inactive = deployment.connect();
   const auto start = Clock::now();
   REQUIRE(inactive.reaches_end());
   REQUIRE(Clock::now() - start > 1900ms);
@@ -85,7 +87,8 @@
 TEST_CASE("a request of sixty megabytes is rejected with an error while other clients are served") {
   Deployment deployment(1);
   constexpr std::size_t kRequestSize = 60'000'000;
-  TestConnection big = deployment.ready_client(), other = deployment.ready_client();
+  TestConnection big = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
   big.send("*5\r\n$9\r\nCALL.POST\r\n$60000000\r\n");
   REQUIRE(big.receives(kProtocolError));
   REQUIRE(bytes_accepted(big, kRequestSize) < 20'000'000);
--- a/test/net/counter_client_test.cpp
+++ b/test/net/counter_client_test.cpp
@@ -32,7 +32,8 @@
         std::string("$7\r\n1"), std::string("-noise\r\n")}) {
     INFO(reply);
     Deployment deployment(1);
-    TestConnection client = deployment.ready_client(), counter = deployment.counter.accept();
+    TestConnection client = deployment.ready_client();
+    TestConnection counter = deployment.counter.accept();
     client.send(small_plan_lookup("1"));
     counter.answer_command(reply);
     // The counter may have added the units, so the call does not count as failed.
@@ -50,7 +51,8 @@
 
 TEST_CASE("an inactive counter connection is closed and the next counter call uses another") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), counter = deployment.counter.accept();
+  TestConnection client = deployment.ready_client();
+  TestConnection counter = deployment.counter.accept();
   client.send(small_plan_lookup("1") + small_plan_lookup("2") + small_plan_lookup("3"));
   for (int i = 0; i < 3; ++i) counter.receive_command();
   TestConnection reconnected = deployment.counter.accept();
--- a/test/net/drain_deadline_test.cpp
+++ b/test/net/drain_deadline_test.cpp
@@ -34,7 +34,8 @@
   Deployment deployment(1);
   set_client_timeout(deployment.config["settings"], 7500);
   for (Json& route : deployment.config["settings"]["classes"]) route["late_share"] = 0.5;
-  TestConnection client = deployment.ready_client(), other = deployment.ready_client();
+  TestConnection client = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
   client.send(pay_request("1", 7500));
   const TestConnection unresponsive_worker = deployment.next_attempt().connection;
   deployment.gateway.terminate();
--- a/test/net/drain_test.cpp
+++ b/test/net/drain_test.cpp
@@ -51,7 +51,8 @@
 
 TEST_CASE("a drain accepts new requests, completes those in flight and resets no connection") {
   Deployment deployment;
-  TestConnection busy = deployment.ready_client(), idle = deployment.ready_client();
+  TestConnection busy = deployment.ready_client();
+  TestConnection idle = deployment.ready_client();
   busy.send(lookup_request("1"));
   TestConnection worker = deployment.next_attempt().connection;
   worker.receive_command();
--- a/test/net/http_response_parser_test.cpp
+++ b/test/net/http_response_parser_test.cpp
@@ -8,7 +8,8 @@
 
 /// The body that the parser extracts from `text` when it gets `step` bytes at a time.
 std::string body_of(HttpResponseParser& parser, std::string_view text, std::size_t step) {
-  std::string body, unread;
+  std::string body;
+  std::string unread;
   for (std::size_t at = 0; at < text.size(); at += step) {
     unread.append(text.substr(at, step));
     unread.erase(0, parser.consume(unread, [&](std::string_view piece) { body.append(piece); }));
@@ -29,7 +30,8 @@
 }
 
 TEST_CASE("a response with a length ends after it, and one without a length ends with its connection") {
-  HttpResponseParser sized, until_close;
+  HttpResponseParser sized;
+  HttpResponseParser until_close;
   REQUIRE(body_of(sized, "HTTP/1.1 404 No\r\nContent-Length: 2\r\n\r\nxyz", 1) == "xy");
   REQUIRE(sized.status() == 404);
   REQUIRE(sized.stage() == HttpResponseParser::Stage::complete);
--- a/test/net/json_splitter_test.cpp
+++ b/test/net/json_splitter_test.cpp
@@ -24,7 +24,8 @@
 }
 
 TEST_CASE("objects are split by their structure, over several lines and in pieces of any size") {
-  const std::string nested = "{\n \"a\": [1, {\"}\": \"\\\"{\"}],\r\n\"b\": {}\n}", empty = "{}";
+  const std::string nested = "{\n \"a\": [1, {\"}\": \"\\\"{\"}],\r\n\"b\": {}\n}";
+  const std::string empty = "{}";
   const std::string text = nested + "\r\n\n \t" + empty + empty + "\n";
   for (std::size_t step = 1; step <= text.size(); ++step) {
     JsonSplitter splitter;
--- a/test/net/reload_test.cpp
+++ b/test/net/reload_test.cpp
@@ -10,10 +10,12 @@
 TEST_CASE(
     "a reload changes the discovery and counter addresses, and pending counter calls get their own replies") {
   Deployment deployment;
-  TestConnection client = deployment.ready_client(), counter = deployment.counter.accept();
+  TestConnection client = deployment.ready_client();
+  TestConnection counter = deployment.counter.accept();
   auto [watch, request] = deployment.take_watch();
   client.send(small_plan_lookup("1") + small_plan_lookup("2"));
-  const std::string first_call = counter.receive_command(), second_call = counter.receive_command();
+  const std::string first_call = counter.receive_command();
+  const std::string second_call = counter.receive_command();
   REQUIRE_THAT(second_call, StartsWith(first_call.substr(0, 25)));  // both calls are for the same customer
 
   deployment.gateway.write_config("{");
@@ -23,7 +25,8 @@
                               "does not contain a JSON object"));
   REQUIRE(watch.receives_nothing_for(20ms));
 
-  const TestServer new_discovery, new_counter;
+  const TestServer new_discovery;
+  const TestServer new_counter;
   deployment.config["discovery"] = new_discovery.address();
   deployment.config["counter"] = new_counter.address();
   deployment.reload_config();
--- a/test/net/request_parser_test.cpp
+++ b/test/net/request_parser_test.cpp
@@ -85,7 +85,8 @@
 }
 
 TEST_CASE("each invalid part of a request is reported with its own error") {
-  const auto read = CommandType::idempotent_request, write = CommandType::other_request;
+  const auto read = CommandType::idempotent_request;
+  const auto write = CommandType::other_request;
   const std::string_view valid = "c=lookup,t=team,d=1,units=1";
   REQUIRE(fails_with(parse(read, {"CALL.GET", kCustomer, "id"}), RequestError::wrong_word_count));
   REQUIRE(
--- a/test/net/support/gateway_process.cpp
+++ b/test/net/support/gateway_process.cpp
@@ -89,7 +89,9 @@
 }
 
 double GatewayProcess::cpu_seconds() const {
-  constexpr int kUserTime = 14, kSystemTime = 15;  // numbers of the fields, from 1; in clock ticks
+  // Numbers of the fields of /proc/PID/stat, counted from 1. Their values are in clock ticks.
+  constexpr int kUserTime = 14;
+  constexpr int kSystemTime = 15;
   std::ifstream stat(proc_file("stat"));
   std::string word;
   double ticks = 0;
@@ -109,7 +111,9 @@
 
 char GatewayProcess::state() const {
   std::ifstream stat(proc_file("stat"));
-  std::string pid, name, state;
+  std::string pid;
+  std::string name;
+  std::string state;
   stat >> pid >> name >> state;
   return state.empty() ? '?' : state[0];
 }
