--- a/src/net/attempt_command.cpp
+++ b/src/net/attempt_command.cpp
@@ -14,7 +14,7 @@
 }
 
 // Appends the attributes of the client's request, with `timeout` in place of the value of `d`, which is the
-// client's own time-out.
+// client's own timeout.
 void append_attributes(std::string& out, std::string_view attributes, Duration timeout) {
   const std::string_view client_timeout = resp::find_field(attributes, "d");
   const auto timeout_offset = static_cast<std::size_t>(client_timeout.data() - attributes.data());
--- a/src/net/attempt_command.hpp
+++ b/src/net/attempt_command.hpp
@@ -6,9 +6,10 @@
 
 namespace ironquay::net {
 
-// Appends the command to `out` up to its body; if there is a body, appends the body's length line as well.
-// The words are those that the client sent, except for the attribute `d`. Its value becomes `timeout` in
-// milliseconds, rounded up and at least 1: the time that this gateway waits for the response.
+// Appends the command to `out`, without the body. If the request has a body, the output ends with the line
+// that gives the length of the body, and the caller sends the body and its CRLF. The words equal those of the
+// client's request, except that the value of the attribute `d` is replaced by `timeout` in milliseconds,
+// rounded up and at least 1. This is the time for which the gateway waits for the response.
 void append_attempt_command(std::string& out, const Exchange& exchange, Duration timeout);
 
 }  // namespace ironquay::net
--- a/src/net/client_acceptor.cpp
+++ b/src/net/client_acceptor.cpp
@@ -14,9 +14,9 @@
 
 // After this many connections, events of other descriptors are handled before more are accepted.
 constexpr int kMaxAcceptsPerEvent = 64;
-// The delay before the next attempt when the system is out of descriptors or memory.
+// The delay before accept_pending() is called again when the system is out of descriptors or memory.
 constexpr Duration kAcceptErrorRetryDelay = 50ms;
-// The delay before the next attempt when a lingering connection must stay open a little longer.
+// The same delay when no connection can be accepted until another has lingered for kMinLinger.
 constexpr Duration kLingerRetryDelay = ClientConnection::kMinLinger / 5;
 
 [[noreturn]] void throw_listen_error(const Address& address) {
@@ -58,19 +58,19 @@
       if (errno == EAGAIN) return blocked_since_.reset();
       return on_accept_error(errno);
     }
-    last_accept_ = context_.loop.now();
+    last_accepted_at_ = context_.loop.now();
     context_.connections.add(
         std::make_unique<ClientConnection>(context_, std::move(socket), peer, blocked_since_));
   }
   context_.loop.requeue(*token_, EPOLLIN);
 }
 
-// Returns whether a connection can be accepted now. If not, arranges for another attempt.
+// Returns whether a connection can be accepted now. If not, arranges a retry.
 bool ClientAcceptor::ensure_capacity() {
   const ConnectionLimiter::Capacity capacity = context_.limiter.ensure_capacity();
   if (capacity == ConnectionLimiter::Capacity::available) return true;
   mark_blocked();
-  // In the other case, on_connection_closed() triggers the next attempt.
+  // If the capacity is exhausted, on_connection_closed() arranges the retry.
   if (capacity == ConnectionLimiter::Capacity::pending_linger) retry_timer_.expire_after(kLingerRetryDelay);
   return false;
 }
--- a/src/net/client_acceptor.hpp
+++ b/src/net/client_acceptor.hpp
@@ -35,7 +35,7 @@
   // Whether connections may be waiting in the backlog because they could not be accepted.
   bool has_backlog() const { return blocked_since_.has_value(); }
   // The time at which a connection was last accepted; zero if none has been.
-  Duration last_accept() const { return last_accept_; }
+  Duration last_accepted_at() const { return last_accepted_at_; }
 
  private:
   void on_events(std::uint32_t events) override;
@@ -47,9 +47,9 @@
   ClientContext& context_;
   Address address_;
   FileDescriptor socket_;
-  std::optional<EventLoop::Token> token_;  // of the listening socket; set by start()
+  std::optional<EventLoop::Token> token_;  // identifies the listening socket in the loop; set by start()
   std::optional<Duration> blocked_since_;  // set while connections may be waiting in the backlog
-  Duration last_accept_{0};
+  Duration last_accepted_at_{0};
   Timer retry_timer_;
 };
 
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -40,8 +40,8 @@
   // trips of the slowest client.
   static constexpr Duration kMinLinger = std::chrono::milliseconds(50);
 
-  // `unread_since` is the time since when connections have been waiting to be accepted; empty if they have
-  // been accepted without delay. The context must outlive the connection.
+  // `unread_since` is the time since which connections have been waiting to be accepted. It is empty if they
+  // have been accepted without delay. The context must outlive the connection.
   ClientConnection(ClientContext& context, FileDescriptor socket, const Address& peer,
                    std::optional<Duration> unread_since);
 
@@ -114,14 +114,14 @@
   // Commands may have been waiting to be read since this time, because reading was paused or because the
   // connection had not been accepted yet. Empty if all input has been read without delay.
   std::optional<Duration> unread_since_;
-  Timer linger_timer_;  // limits the time that the client may keep its side open
+  Timer linger_timer_;  // closes a lingering connection; discards the responses of a slow reader
   // The commands whose responses are not written yet, in the order in which they were received.
   std::deque<std::unique_ptr<ClientRequest>> pipeline_;
   // Responses produced while a batch of input is processed; they are written together after the batch.
   std::string read_batch_responses_;
   bool in_read_batch_ = false;
-  std::size_t command_count_ = 0;  // complete commands received on this connection
-  std::size_t discarded_bytes_ = 0;
+  std::size_t command_count_ = 0;              // complete commands received on this connection
+  std::size_t discarded_bytes_ = 0;            // input discarded since begin_close()
   std::size_t accounted_unwritten_bytes_ = 0;  // this connection's share of ClientMemory::unwritten_bytes
   bool has_sent_request_ = false;
   std::optional<ClientCloseReason> close_reason_;  // set when closing begins
--- a/src/net/client_context.hpp
+++ b/src/net/client_context.hpp
@@ -20,7 +20,7 @@
   bool is_draining = false;
   Duration began_at{0};
   Duration response_deadline{0};  // the time by which every response must be written
-  Duration linger_timeout{0};     // for connections that are half-closed during the drain
+  Duration linger_timeout{0};     // how long connections that are half-closed during the drain linger
 };
 
 // The state shared by the acceptor and all client connections. Not copyable or movable, because its members
--- a/src/net/client_drain.cpp
+++ b/src/net/client_drain.cpp
@@ -10,13 +10,13 @@
 
 using namespace std::chrono_literals;
 
-// The load balancer stops opening connections within 0.4 s after SIGTERM. Idle connections are closed after
-// this period.
+// The load balancer in front of the gateways stops opening connections within 0.4 s after SIGTERM. Idle
+// connections are closed after this period.
 constexpr Duration kAcceptPeriod = 450ms;
 constexpr Duration kCheckInterval = 20ms;
-// After SIGTERM, the platform waits for the longest client timeout, but no more than 3 s, and another 0.7 s
-// before it may kill the process. Requests must be answered earlier by the margin, which allows for responses
-// in transit and for the process being scheduled late.
+// After SIGTERM, the platform waits for the longest client timeout (at most 3 s) plus 0.7 s before it may
+// kill the process. Requests must be answered 0.3 s before that, to allow for responses in transit and for
+// delays in the scheduling of the process.
 constexpr Duration kMaxCountedClientTimeout = 3s;
 constexpr Duration kKillDelay = 700ms;
 constexpr Duration kResponseMargin = 300ms;
@@ -74,18 +74,17 @@
   }
 }
 
-// Whether to keep the listening socket open: closing it resets the connections in its backlog, so it must
-// stay open while connections may be waiting there or may still arrive.
+// Whether the listening socket must stay open, because connections may be waiting in its backlog or may still
+// arrive. Closing the socket would reset them.
 bool ClientDrain::may_receive_connections() const {
   if (!acceptor_.is_started()) return false;
   if (acceptor_.has_backlog()) return true;
-  const Duration last_activity = std::max(acceptor_.last_accept(), context_.drain.began_at);
+  const Duration last_activity = std::max(acceptor_.last_accepted_at(), context_.drain.began_at);
   return context_.loop.now() - last_activity < kAcceptPeriod;
 }
 
-// Whether the drain must wait because clients may still send on open connections. The wait is limited: to the
-// linger timeout for clients that have received all their responses, and to a longer time for clients that
-// have responses to read.
+// Whether the drain must wait because clients may still send on open connections. After kAcceptPeriod, it
+// waits for at most the linger timeout if all responses have been written, and for a longer time otherwise.
 bool ClientDrain::must_wait_for_clients() const {
   const ConnectionTable& connections = context_.connections;
   if (connections.empty()) return false;
--- a/src/net/connection_limiter.cpp
+++ b/src/net/connection_limiter.cpp
@@ -16,9 +16,11 @@
 // command and no part of another, it is closed only while more than half of the connection limit is in use.
 constexpr Duration kIdleTimeout = 2s;
 constexpr Duration kIdleCheckInterval = 250ms;
-// The platform lets clients use at most a third of the descriptors for connections with requests; above that,
-// clients no longer reach this gateway. Three quarters of that third equal two fifths of the connection limit
-// here. Above this number, the connection that has been idle for longest is closed.
+// The limit on connections that have carried requests, as a fraction of the connection limit. If they use
+// more than a third of the file descriptors, the platform lets no further clients reach this gateway. The
+// limit is three quarters of that third. This is about a quarter of the descriptors, or two fifths of the
+// connection limit, which is five eighths of the descriptors that connections may use (see gateway.cpp).
+// Above the limit, the idle connection that was used least recently is closed.
 constexpr std::size_t kRequestConnectionsNumerator = 2;
 constexpr std::size_t kRequestConnectionsDenominator = 5;
 
--- a/src/net/connection_limiter.hpp
+++ b/src/net/connection_limiter.hpp
@@ -14,19 +14,19 @@
   // Whether a new connection can be accepted.
   enum class Capacity {
     available,
-    exhausted,      // not until a connection closes or becomes idle
-    pending_linger  // not until a half-closed connection has lingered for kMinLinger; retry soon
+    exhausted,      // no capacity until a connection closes or becomes idle
+    pending_linger  // no capacity until a half-closed connection has lingered for kMinLinger; retry soon
   };
 
   // Both references must outlive the limiter. `max_connections` is the limit on connections that are not
   // half-closed.
   ConnectionLimiter(EventLoop& loop, ConnectionTable& connections, std::size_t max_connections);
 
-  // Returns whether a connection can be accepted, evicting another connection if that is necessary.
+  // Returns whether a connection can be accepted. Evicts another connection if that is necessary.
   Capacity ensure_capacity();
 
-  // These count the connections that have carried a request and are not closing. If an added connection
-  // exceeds the limit, an idle one is closed.
+  // These functions maintain the number of connections that have carried a request and are not closing. If an
+  // added connection exceeds the limit on that number, an idle one is closed.
   void on_request_connection_added();
   void on_request_connection_removed() { --request_connections_; }
 
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -11,9 +11,9 @@
 
 using namespace std::chrono_literals;
 
-// The time between the end of a connection and the next connection attempt. It doubles while no connection
-// succeeds. The maximum is a quarter of the longest time for which the policy stops calling the counter
-// service, so that a connection is open again when the policy resumes its calls.
+// The first and the longest delay before the client reconnects. The delay doubles until a connection receives
+// a response. The longest delay is a quarter of the longest time for which the policy stops calling the
+// counter service, so that a connection is open again when the policy resumes its calls.
 constexpr Duration kInitialBackoff = 100ms;
 constexpr Duration kMaxBackoff = 1s;
 // The maximum length of a number, in bytes. The largest double has about 310 digits in decimal notation.
--- a/src/net/counter_client.hpp
+++ b/src/net/counter_client.hpp
@@ -1,8 +1,8 @@
 // The client of the counter service, which keeps counts that all gateways share.
 //
-// The client keeps one connection open and reconnects with exponential backoff. When the address changes, it
-// drains the previous connection: calls that are pending on it end there. Results for one name are still
-// reported in the order of the calls.
+// The client keeps one connection open and reconnects with exponential backoff. When the address changes, new
+// calls use a new connection, and the previous one stays open until its pending calls have ended. Results for
+// one name are still reported in the order of the calls.
 #pragma once
 #include <deque>
 #include <memory>
--- a/src/net/counter_connection.cpp
+++ b/src/net/counter_connection.cpp
@@ -16,8 +16,8 @@
 // idle for about 10 s.
 constexpr Duration kHeartbeatInterval = 2s;
 // A connection is closed if calls are pending and no response was received for this many call timeouts. An
-// overloaded service still answers the calls in order, but a host that has vanished leaves the connection
-// open forever.
+// overloaded service still answers the calls in order. If its host has failed, the connection stays open, but
+// no response ever arrives.
 constexpr int kInactivityCallTimeouts = 3;
 // While a response is incomplete, more of it must arrive within the call timeout divided by this number.
 constexpr int kResponseGapDivisor = 2;
@@ -98,8 +98,8 @@
   std::vector<CounterResult> results;
   for (Call& call : calls_) {
     if (std::exchange(call.reported, true)) continue;
-    const bool delivered = call.end_offset <= sent_bytes;
-    results.push_back({call.name, delivered ? Outcome::connection_lost : Outcome::connect_failed, 0});
+    const bool was_sent = call.end_offset <= sent_bytes;
+    results.push_back({call.name, was_sent ? Outcome::connection_lost : Outcome::connect_failed, 0});
   }
   owner_.on_connection_end(*this, has_responded_, std::move(results));
 }
@@ -130,8 +130,8 @@
   stream_.write({command});
 }
 
-// Sends a heartbeat if no call is pending, and closes the connection if the pending calls had no response for
-// too long.
+// Sends a heartbeat if no call is pending. Closes the connection if calls are pending and no response has
+// arrived for too long.
 void CounterConnection::on_heartbeat_timer() {
   if (stream_.connected() && calls_.empty()) write({std::string(), {}, 0, true}, "*1\r\n$4\r\nPING\r\n");
   const Duration inactive_for = loop_.now() - last_response_at_;
--- a/src/net/counter_connection.hpp
+++ b/src/net/counter_connection.hpp
@@ -43,8 +43,8 @@
     virtual ~Owner() = default;
     // A call has been answered or has timed out.
     virtual void on_counter_result(const CounterConnection& connection, CounterResult result) = 0;
-    // The connection is closed, and its pending calls have ended with `results`. The owner destroys it once
-    // the current round of the event loop is over. `has_responded` is whether any bytes of a response to a
+    // The connection is closed, and its pending calls have ended with `results`. The owner destroys it
+    // after the current iteration of the event loop. `has_responded` is whether any bytes of a response to a
     // call were received on the connection.
     virtual void on_connection_end(CounterConnection& connection, bool has_responded,
                                    std::vector<CounterResult> results) = 0;
@@ -69,7 +69,7 @@
     std::string name;  // empty for a heartbeat
     Duration deadline{0};
     std::size_t end_offset = 0;  // number of bytes enqueued on this connection up to the end of this call
-    bool reported = false;       // its result was reported; a response that arrives later is read and dropped
+    bool reported = false;       // whether its result was reported; a later response is read and dropped
   };
 
   void on_events(std::uint32_t events) override;
@@ -89,10 +89,10 @@
   std::deque<Call> calls_;          // the calls without a response, oldest first
   std::size_t enqueued_bytes_ = 0;  // bytes written or buffered for writing
   std::size_t responses_ = 0;       // number of responses received
-  Duration last_response_at_;       // time of the last response, or when calls_ became non-empty after it
-  Timer call_timer_;
-  Timer heartbeat_timer_;
-  Timer response_gap_timer_;
+  Duration last_response_at_;       // time of the last response or of the first call after it, if later
+  Timer call_timer_;                // fires when the connect or the oldest unreported call times out
+  Timer heartbeat_timer_;           // fires when a heartbeat or a check for inactivity is due
+  Timer response_gap_timer_;        // fires when the rest of an incomplete response is late
   bool has_responded_ = false;
   bool malformed_ = false;
   bool draining_ = false;
--- a/src/net/endpoint_discovery.cpp
+++ b/src/net/endpoint_discovery.cpp
@@ -12,29 +12,30 @@
 using Json = nlohmann::json;
 
 // A watch that has received neither an object nor a heartbeat for this time is inactive and may be broken.
-// Discovery sends a heartbeat every 2 s, and the time-out is a quarter of that interval longer. The platform
+// Discovery sends a heartbeat every 2 s, and the timeout is a quarter longer than that interval. The platform
 // expects a gateway to know of every change within 6 s, even if the watch that should have reported it is
-// broken; the rest of the 6 s is enough for about six attempts to open another watch.
+// broken. The rest of the 6 s is enough for about six attempts to open another watch.
 constexpr Duration kWatchIdleTimeout = 2500ms;
 
-// The timing of requests to a local agent. An agent that works answers immediately. An agent that was stalled
-// answers the requests that it received meanwhile when it works again; if it does not answer them, the next
-// attempt still follows well within the drain period of any worker.
+// The timing of requests to a local agent. A working agent answers immediately. An agent that has stalled and
+// recovered may answer the requests that it received in the meantime. If it does not, the next request still
+// follows well within the drain period of any worker.
 constexpr Duration kAgentResponseTimeout = 200ms;
 constexpr Duration kMaxAgentBackoff = 400ms;
 
 // The timing of requests to a shared service. The service queues requests, and answers with an error if it
-// does not accept one. A request that is abandoned and sent again only makes the queue longer, so each
-// request may take long. Because the service may also never respond, hedged requests are sent meanwhile:
-// three requests fit into the 6 s above.
+// does not accept one. Abandoning a request and sending it again would only make the queue longer, so the
+// timeout is long. Because the service may also never answer a request, hedged requests are sent before the
+// timeout: three requests fit into the 6 s above.
 constexpr Duration kSharedResponseTimeout = 10s;
 constexpr Duration kSharedHedgeDelay = 1500ms;
 constexpr Duration kMaxSharedBackoff = 2s;
 constexpr std::size_t kMaxSharedWatches = 3;
 
-// The mean delay before the first retry. It doubles for each further retry, up to one of the maxima above.
+// The mean delay before the first retry. It doubles for each further retry, up to kMaxAgentBackoff or
+// kMaxSharedBackoff.
 constexpr Duration kInitialBackoff = 100ms;
-// The delay before the next attempt if no connection could be started, for example for lack of descriptors.
+// The delay before the next attempt if connecting fails immediately, for example for lack of descriptors.
 constexpr Duration kSocketRetryDelay = 400ms;
 // Gateways that start together, possibly hundreds, spread their first requests to a shared service over this
 // time.
@@ -69,7 +70,7 @@
   open_watch();
 }
 
-// The new server may number its versions differently, so the full list is requested.
+// The full list is requested, because the new server may number its versions differently.
 void EndpointDiscovery::set_address(const Address& address) {
   if (same_address(address, address_)) return;
   address_ = address;
@@ -112,8 +113,8 @@
   const std::int64_t version_before = version_;
   const Json list = Json::parse(text, nullptr, false);
   if (!report_list(list, false)) return on_watch_end(watch, WatchCloseReason::malformed_response);
-  // The endpoints from a server at the previous address are valid, but its versions mean nothing to the
-  // server at the new address.
+  // The endpoints from a server at the previous address are valid, but the server at the new address may
+  // number its versions differently.
   if (!same_address(watch.address(), address_)) version_ = version_before;
   on_watch_event(watch);
 }
@@ -186,16 +187,16 @@
   retry_timer_.expire_after(with_jitter(backoff_));
 }
 
-// The active watch may be broken, or discovery may be down. Another watch is opened, and the active one stays
-// open and is still read.
+// Opens another watch: the active one may be broken, or discovery may be down. The active watch stays open
+// and is still read.
 void EndpointDiscovery::on_watch_idle_timeout() {
   log("discovery watch inactive addr=%s version=%lld", to_string(active_watch_->address()).c_str(),
       static_cast<long long>(version_));
   open_watch();
 }
 
-// No pending watch has responded in time, so another one is opened. The oldest pending watch is closed if
-// discovery is local; in the case of a shared service it is closed only after kSharedResponseTimeout.
+// Opens another watch, because no pending one has responded in time. Closes the oldest pending watch if it is
+// a request to a local agent, or if kSharedResponseTimeout has passed since it was opened.
 void EndpointDiscovery::on_watch_response_timeout() {
   DiscoveryWatch& oldest = *pending_watches_.front();
   const bool timed_out = is_local() || loop_.now() - oldest.opened_at() >= kSharedResponseTimeout;
--- a/src/net/endpoint_discovery.hpp
+++ b/src/net/endpoint_discovery.hpp
@@ -73,7 +73,7 @@
   std::unique_ptr<DiscoveryWatch> active_watch_;                  // the watch that has responded, or null
   std::vector<std::unique_ptr<DiscoveryWatch>> pending_watches_;  // watches without a response, oldest first
   std::int64_t version_ = -1;   // version of the last list from address_; negative if there is none
-  bool has_responded_ = false;  // any watch has responded since startup
+  bool has_responded_ = false;  // whether a watch has responded since startup
   Duration backoff_{0};         // mean of the latest retry delay; 0 after a response
   std::ranlux24_base random_;   // the generator of the jitter
   Timer idle_timer_;            // fires when the active watch becomes inactive
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -168,7 +168,7 @@
   if (gossip_) gossip_->broadcast(bytes);
 }
 
-// Does nothing: EndpointDiscovery keeps a watch open from startup on and reconnects without being told to.
+// Does nothing: EndpointDiscovery keeps a watch open from startup on and reconnects by itself.
 void Gateway::subscribe_endpoints(bool /*on*/) {}
 
 void Gateway::poll_endpoints() { discovery_.refresh(); }
@@ -209,7 +209,7 @@
   return balancer_.may_send_attempt(loop_.now(), request, attempt);
 }
 
-// Answers the client before it notifies the load balancer, if this outcome ends the request.
+// If the outcome ends the request, answers the client first and then notifies the load balancer.
 void Gateway::on_attempt_end(const AttemptEnd& end) {
   bool request_finished = !open_requests_.contains(end.request);
   const bool is_final = end.outcome == Outcome::success || end.outcome == Outcome::invalid_request;
--- a/src/net/gossip_socket.hpp
+++ b/src/net/gossip_socket.hpp
@@ -1,5 +1,4 @@
-// Sends and receives gossip between the gateways of a tier: short messages in UDP datagrams, which may be
-// lost.
+// Sends and receives gossip between the gateways: short messages in UDP datagrams, which may be lost.
 #pragma once
 #include <optional>
 #include <string_view>
--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -20,7 +20,7 @@
   return text;
 }
 
-bool equal_ignoring_case(std::string_view left, std::string_view right) {
+bool equals_ignoring_case(std::string_view left, std::string_view right) {
   return left.size() == right.size() && strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
 
@@ -104,8 +104,8 @@
   }
   const std::string_view name = line.substr(0, colon);
   const std::string_view value = trim(line.substr(colon + 1));
-  if (equal_ignoring_case(name, "transfer-encoding")) chunked_ = equal_ignoring_case(value, "chunked");
-  if (equal_ignoring_case(name, "content-length")) {
+  if (equals_ignoring_case(name, "transfer-encoding")) chunked_ = equals_ignoring_case(value, "chunked");
+  if (equals_ignoring_case(name, "content-length")) {
     has_content_length_ = true;
     if (!parse_number(value, kDecimal, remaining_bytes_)) stage_ = Stage::malformed;
   }
--- a/src/net/json_splitter.hpp
+++ b/src/net/json_splitter.hpp
@@ -37,6 +37,7 @@
   // What ends with a byte: an object, a line between objects, or neither.
   enum class Boundary { none, object_end, line_end };
 
+  // Processes one byte and returns what it ends.
   Boundary advance(char byte);
   void advance_in_string(char byte);
 
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -15,9 +15,9 @@
 constexpr std::size_t kWordsWithBody = 5;
 constexpr std::size_t kCustomerDigits = 16;
 constexpr int kCustomerBase = 16;
-// In bytes; far longer than the ids that clients use.
+// The maximum length of a request id in bytes. Clients use much shorter ids.
 constexpr std::size_t kMaxRequestIdLength = 64;
-// One hour; clients use shorter timeouts.
+// The maximum client timeout, one hour. Clients use shorter timeouts.
 constexpr double kMaxTimeoutMs = 3.6e6;
 constexpr double kMicrosecondsPerMs = 1000;
 
--- a/src/net/request_parser.hpp
+++ b/src/net/request_parser.hpp
@@ -1,4 +1,4 @@
-// Parses client commands. The names of commands and fields on the wire occur only in this module.
+// Parses client commands, and maps the names of commands and fields on the wire to the terms of the code.
 #pragma once
 #include <string_view>
 #include <variant>
--- a/src/net/resp.cpp
+++ b/src/net/resp.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-// The maximum length of an unfinished line that should hold a length. A longer one is malformed, so that the
-// parser does not wait for the end of a line that never ends.
+// A line that should hold a length is malformed if more bytes than this have arrived without the line end.
+// Otherwise the parser could wait for a line end that never arrives.
 constexpr std::size_t kMaxLengthDigits = 16;
 
 // Reads the line that starts at `offset` into `text`, without its CRLF, and advances `offset` past the CRLF.
@@ -64,8 +64,8 @@
 
 bool is_line_type(char type) { return type == '+' || type == '-' || type == ':'; }
 
-// Load reports and costs may arrive as a line of another type. Their value cannot be used, but they can be
-// skipped.
+// Reads a load report or a cost, which may be a line of another type instead of a bulk string. The value of
+// such a line cannot be used, but it can be skipped.
 ParseStatus read_bulk_string_or_line(std::string_view bytes, std::size_t& offset, Element& element,
                                      std::size_t max_value_bytes) {
   if (offset >= bytes.size()) return ParseStatus::incomplete;
--- a/src/net/resp.hpp
+++ b/src/net/resp.hpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxWords = 16;  // words in a command
 // The maximum length of a line.
 constexpr std::size_t kMaxLineBytes = 4096;
-// By the protocol, a command has one long word, and the other words together are shorter than a line.
+// The protocol permits one long word in a command. All other words together are shorter than a line.
 constexpr std::size_t kMaxCommandBytes = kMaxValueBytes + kMaxLineBytes;
 
 // A command: an array of bulk strings.
--- a/src/net/tcp_stream.hpp
+++ b/src/net/tcp_stream.hpp
@@ -86,7 +86,7 @@
 
  private:
   static constexpr std::size_t kMaxWriteParts = 8;
-  // In one event, a connection may fill the read buffer this many times, which is more than the largest
+  // A connection may fill the read buffer this many times per event. Together, that is more than the largest
   // message.
   static constexpr int kMaxReadsPerEvent = 16;
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -123,9 +123,9 @@
   // A complete value is used even if the rest of the response, such as the load report, is incomplete.
   resp::Reply reply;
   resp::parse_reply(stream_.unread(), reply, max_value_bytes());
-  const bool delivered = on_value_reply(reply);
+  const bool value_used = on_value_reply(reply);
   close(UpstreamCloseReason::malformed_response,
-        delivered ? Outcome::cancelled : Outcome::malformed_response);
+        value_used ? Outcome::cancelled : Outcome::malformed_response);
 }
 
 std::size_t UpstreamConnection::on_bytes(std::string_view bytes) {
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -16,7 +16,7 @@
 
 // Why a connection to a worker was closed, or could not be opened.
 enum class UpstreamCloseReason {
-  attempt_expired,     // the attempt waited to be written and became invalid meanwhile
+  attempt_expired,     // the attempt became invalid before it was written
   connect_refused,     // the connection could not be established
   connect_timed_out,   // the connection was not established in time
   response_timed_out,  // the command was not written, or not answered, in time
@@ -48,7 +48,7 @@
   WorkerId worker = 0;
   Outcome outcome = Outcome::success;
   Duration elapsed{0};      // time since the attempt was started
-  std::string_view value;   // encoded as the worker sent it; empty unless the attempt succeeded
+  std::string_view value;   // the value in wire format; empty unless the attempt succeeded
   double actual_units = 0;  // units of quota that the worker reported; 0 if it reported none
 };
 
@@ -61,11 +61,11 @@
     // Whether the worker's address or process has changed since `opened_at`, the time when a connection to
     // the worker was opened. Such a connection must not be used for further attempts.
     virtual bool is_outdated(WorkerId worker, Duration opened_at) const = 0;
-    // Whether an attempt whose bytes could not be written immediately may still be written.
+    // Whether an attempt that could not be written immediately may still be written.
     virtual bool may_send_attempt(RequestId request, std::size_t attempt) = 0;
     // The connection is idle and can be used for another attempt or health check.
     virtual void on_connection_idle(UpstreamConnection& connection) = 0;
-    // The connection is closed. The owner destroys it once the current round of the event loop is over.
+    // The connection is closed. The owner destroys it after the current iteration of the event loop.
     virtual void on_connection_closed(UpstreamConnection& connection) = 0;
     virtual void on_attempt_end(const AttemptEnd& end) = 0;
     // `elapsed` is the time since the health check was started.
@@ -85,8 +85,8 @@
   void start_health_check(Duration timeout);
   // Closes the connection. An attempt or health check in flight on it ends with `outcome`.
   void close(UpstreamCloseReason reason, Outcome outcome);
-  // Whether an idle connection can be used, which means that there are neither bytes nor an end of stream to
-  // read. Otherwise the connection is closed.
+  // Whether an idle connection can be used: there must be neither bytes nor an end of stream to read. Closes
+  // the connection if it cannot be used.
   bool check_usable();
 
   WorkerId worker() const { return worker_; }
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -16,7 +16,7 @@
 // delay is five times as long. (docs/incidents/rare-faults.md)
 constexpr Duration kReuseDelay = 20ms;
 // How often connections that were idle for too long are closed.
-constexpr Duration kSweepInterval = 1s;
+constexpr Duration kIdleCheckInterval = 1s;
 
 }  // namespace
 
@@ -27,8 +27,8 @@
       max_connections_(std::max<std::size_t>(limits.max_connections, 1)),
       budget_{limits.buffer_bytes, 0},
       listener_(listener),
-      sweep_timer_(loop, [this] { close_stale_connections(); }) {
-  sweep_timer_.expire_after(kSweepInterval);
+      idle_check_timer_(loop, [this] { close_expired_idle_connections(); }) {
+  idle_check_timer_.expire_after(kIdleCheckInterval);
 }
 
 void UpstreamPool::set_endpoint(WorkerId id, const Address& address, Duration started_at) {
@@ -137,10 +137,10 @@
   return true;
 }
 
-// Closes connections after half of the idle timeout, well before the workers do: they close a connection at
-// the latest when it has been idle for the whole timeout.
-void UpstreamPool::close_stale_connections() {
-  sweep_timer_.expire_after(kSweepInterval);
+// Closes the connections that have been idle for half of the idle timeout. A worker closes a connection at
+// the latest when it has been idle for the whole timeout, and the gateway closes it well before that.
+void UpstreamPool::close_expired_idle_connections() {
+  idle_check_timer_.expire_after(kIdleCheckInterval);
   const Duration earliest_idle_start = loop_.now() - settings_.idle_timeout / 2;
   for (std::size_t i = connections_.size(); i-- > 0;) {
     if (i < connections_.size() && connections_[i]->idle_since() < earliest_idle_start)
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -28,8 +28,8 @@
     virtual ~Listener() = default;
     // An attempt has ended. May be called from within send_attempt(), cancel_attempt() and check_health().
     virtual void on_attempt_end(const AttemptEnd& end) = 0;
-    // Whether an attempt may still be written that waited until its connection was established or its socket
-    // accepted more bytes.
+    // Whether an attempt that could not be written immediately may still be written. It had to wait until its
+    // connection was established or its socket accepted more bytes.
     virtual bool may_send_attempt(RequestId request, std::size_t attempt) = 0;
     // A health check has ended, `elapsed` after it was started. May be called from within check_health().
     virtual void on_health_check_end(WorkerId worker, Outcome outcome, Duration elapsed) = 0;
@@ -72,7 +72,7 @@
   UpstreamConnection* acquire_idle_connection(Worker& worker);
   UpstreamConnection* open_connection(WorkerId id, const Worker& worker);
   bool evict_idle_connection();
-  void close_stale_connections();
+  void close_expired_idle_connections();
   void on_send_failure(const Exchange& exchange, std::size_t attempt, WorkerId worker, int error);
   static std::uint64_t in_flight_key(RequestId request, std::size_t attempt);
 
@@ -85,7 +85,7 @@
   std::unordered_map<std::uint64_t, UpstreamConnection*> in_flight_;  // attempts, by in_flight_key()
   std::vector<std::unique_ptr<UpstreamConnection>> connections_;
   std::string command_;  // reused for each attempt, to save allocations
-  Timer sweep_timer_;
+  Timer idle_check_timer_;
 };
 
 }  // namespace ironquay::net
--- a/test/net/client_half_close_test.cpp
+++ b/test/net/client_half_close_test.cpp
@@ -9,8 +9,8 @@
 /// Waits until the gateway half-closes `client`, then immediately sends a request, and checks that the
 /// connection is not reset and the request is not forwarded. `last_open` is a time at which the connection
 /// was still open. `linger_time` is the time for which the gateway reads after the half-close. Returns false,
-/// without further checks, if the machine was so slow that this time may already have passed when the request
-/// was sent.
+/// without further checks, if the machine was so slow that this time may have passed before the request was
+/// sent.
 bool late_request_is_not_reset(Deployment& deployment, TestConnection& client, Clock::time_point last_open,
                                Milliseconds linger_time) {
   const auto wait_deadline = Clock::now() + kWaitTimeout;
@@ -85,7 +85,7 @@
     deployment.limit_descriptors(64);
     const auto start = Clock::now();
     const std::vector<TestConnection> idle = deployment.ready_clients(100);  // none closes its side
-    // Were each group of eight lingering connections kept for a full second, this would take over eight
+    // If each group of eight lingering connections were kept for a full second, this would take over eight
     // seconds.
     return seconds_since(start) < 4;
   });
--- a/test/net/client_limits_test.cpp
+++ b/test/net/client_limits_test.cpp
@@ -9,42 +9,43 @@
 namespace ironquay::net {
 namespace {
 
-/// Sends up to `limit` bytes, or until the gateway closes the connection. Returns the number of bytes sent.
-std::size_t bytes_accepted(const TestConnection& connection, std::size_t limit) {
+/// Sends `size` bytes or slightly more, but stops when the gateway closes the connection. Returns the number
+/// of bytes sent.
+std::size_t send_until_closed(const TestConnection& connection, std::size_t size) {
   const std::string piece(65536, 'x');
   std::size_t sent = 0;
-  while (sent < limit) {
-    const ssize_t size = send(connection.fd().get(), piece.data(), piece.size(), MSG_NOSIGNAL);
-    if (size > 0) sent += static_cast<std::size_t>(size);
-    if (size == -1 && errno != EAGAIN) break;
+  while (sent < size) {
+    const ssize_t accepted = send(connection.fd().get(), piece.data(), piece.size(), MSG_NOSIGNAL);
+    if (accepted > 0) sent += static_cast<std::size_t>(accepted);
+    if (accepted == -1 && errno != EAGAIN) break;
   }
   return sent;
 }
 
 TEST_CASE(
-    "without free descriptors idle connections are closed, busy ones stay, and the gateway does not "
+    "without free descriptors, idle connections are closed, busy ones stay open, and the gateway does not "
     "busy-wait") {
   Deployment deployment(4);
   deployment.limit_descriptors(64);  // 25 for clients, 15 for workers
   TestConnection first = deployment.ready_client();
-  std::vector<TestConnection> idle = deployment.ready_clients(40);
+  std::vector<TestConnection> clients = deployment.ready_clients(40);
   std::vector<TestConnection> workers;
   REQUIRE(first.reaches_end());
   REQUIRE(deployment.gateway.logs("reason=connection-limit"));
   // Every client connection that is still open sends a request. The gateway forwards 12 and queues the
   // others.
-  for (std::size_t i = 15; i < 40; ++i) idle[i].send(lookup_request(std::to_string(i)));
+  for (std::size_t i = 15; i < 40; ++i) clients[i].send(lookup_request(std::to_string(i)));
   for (int i = 0; i < 12; ++i) workers.push_back(deployment.next_attempt().connection);
   TestConnection waiting = deployment.connect();
   waiting.send(kPing);
   const double cpu_seconds_before = deployment.gateway.cpu_seconds();
   REQUIRE(waiting.receives_nothing_for(200ms));
   REQUIRE(deployment.gateway.cpu_seconds() - cpu_seconds_before < 0.1);
-  for (TestConnection& client : idle) client.close();
+  for (TestConnection& client : clients) client.close();
   REQUIRE(waiting.receives(kPong));
 }
 
-TEST_CASE("idle connections are closed after two seconds if their last command is missing or incomplete") {
+TEST_CASE("idle connections are closed after two seconds unless their input ends with a complete command") {
   Deployment deployment(1);
   TestConnection partial = deployment.ready_client();
   partial.send(kPartialCommand);
@@ -61,7 +62,7 @@
   REQUIRE(idle.receives(kPong));
 }
 
-TEST_CASE("connections idle for over two seconds are closed down to half of the connection limit") {
+TEST_CASE("while over half of the connection limit is in use, connections idle for two seconds are closed") {
   Deployment deployment(1);
   deployment.limit_descriptors(64);  // 25 for clients
   const std::vector<TestConnection> idle = deployment.ready_clients(14);
@@ -91,7 +92,7 @@
   TestConnection other = deployment.ready_client();
   big.send("*5\r\n$9\r\nCALL.POST\r\n$60000000\r\n");
   REQUIRE(big.receives(kProtocolError));
-  REQUIRE(bytes_accepted(big, kRequestSize) < 20'000'000);
+  REQUIRE(send_until_closed(big, kRequestSize) < 20'000'000);
   other.send(kPing);
   REQUIRE(other.receives(kPong));
 }
--- a/test/net/counter_client_test.cpp
+++ b/test/net/counter_client_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_CASE(
-    "a request over the local quota calls the counter, and a late reply is not used for the next call") {
+    "a request over the quota slice calls the counter, and a late reply is not used for the next call") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   TestConnection counter = deployment.counter.accept();
@@ -13,7 +13,7 @@
   const std::string counter_call = counter.receive_command();
   REQUIRE_THAT(counter_call, StartsWith("CNT.ADD 00000000b4d65521:"));
   REQUIRE_THAT(counter_call, EndsWith(" 58000"));
-  // If the counter does not reply within 80 ms, the local quota alone decides.
+  // If the counter does not reply within 80 ms, the quota slice alone decides.
   TestConnection worker = deployment.next_attempt().connection;
   worker.answer_command(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v")));
@@ -72,7 +72,7 @@
   client.send(small_plan_lookup("1"));
   REQUIRE_THAT(second.receive_command(), StartsWith("CNT.ADD "));
   second.reset();
-  // The units may have been added, so the local quota alone decides.
+  // The units may have been added, so the quota slice alone decides.
   TestConnection worker = deployment.next_attempt().connection;
   worker.answer_command(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v")));
--- a/test/net/drain_deadline_test.cpp
+++ b/test/net/drain_deadline_test.cpp
@@ -1,7 +1,7 @@
-// Deadlines during a drain. After SIGTERM, the platform waits for the longest client timeout, but no more
-// than 3 s, and another 0.7 s before it may kill the gateway. The cases guard against requests that have no
-// response by then, and against responses that are cut off because the drain ends before a client has read
-// them. See also docs/incidents/rare-faults.md.
+// Deadlines during a drain. After SIGTERM, the platform waits for the longest client timeout (at most 3 s)
+// plus 0.7 s before it may kill the gateway. The cases guard against requests that have no response by then,
+// and against responses that are cut off because the drain ends before a client has read them. See also
+// docs/incidents/rare-faults.md.
 #include <thread>
 
 #include "support/deployment.hpp"
@@ -45,7 +45,7 @@
   client.send(lookup_with_timeout("2", 7500));  // its response must follow the first one
   REQUIRE(client.receives(kFailed));            // the worker may have executed the first request
   REQUIRE_THAT(client.receive_line(), StartsWith("-BUSY"));
-  // The limit is 3.4 s plus delays of the machine. The next case checks the exact limit.
+  // The limit is 3.4 s; the checks allow for delays of the machine. The next case checks the exact limit.
   REQUIRE(seconds_since(start) < 6.5);
   REQUIRE(seconds_since(start) > 2.5);
   client.close();
@@ -60,7 +60,7 @@
   REQUIRE(front.run_until_requests(1));
   REQUIRE(front.received_time_left.back() > 5s);
   front.frontend.drain([] {});
-  REQUIRE(front.deadlines_shortened == 1);
+  REQUIRE(front.shortened_deadline_count == 1);
   REQUIRE(front.shortened_time_left <= 3400ms);
   front.run_for(800ms);
   client.send(lookup_with_timeout("2", 7500));
--- a/test/net/drain_test.cpp
+++ b/test/net/drain_test.cpp
@@ -18,12 +18,14 @@
   TestConnection connection;
   bool request_in_flight = false;
 
-  void send_request(int& next_id) {
-    connection.send(lookup_request(std::to_string(++next_id)));
+  /// Sends a request whose id is one more than `last_id`, and stores that id in `last_id`.
+  void send_request(int& last_id) {
+    connection.send(lookup_request(std::to_string(++last_id)));
     request_in_flight = true;
   }
-  /// Reads a response or the end of stream.
-  void read_response(LoadResult& result, int& next_id) {
+  /// Reads a response or the end of stream. After a response, sends the next request unless the gateway
+  /// closes the connection.
+  void read_response(LoadResult& result, int& last_id) {
     if (connection.receive_until("\r\nv\r\n").empty()) {
       REQUIRE_FALSE(connection.was_reset());
       result.lost_requests += request_in_flight;
@@ -34,7 +36,7 @@
     ++result.responses;
     request_in_flight = false;
     // If the gateway closes the connection, it does so immediately after the response.
-    if (!readable(connection.fd(), 20ms)) send_request(next_id);
+    if (!readable(connection.fd(), 20ms)) send_request(last_id);
   }
 };
 
@@ -78,9 +80,9 @@
   Deployment deployment(1);
   std::vector<LoadClient> clients;
   std::vector<TestConnection> workers;
-  int next_id = 0;
+  int last_id = 0;
   for (int i = 0; i < 3; ++i) clients.push_back({deployment.ready_client()});
-  for (LoadClient& client : clients) client.send_request(next_id);
+  for (LoadClient& client : clients) client.send_request(last_id);
   LoadResult result;
   const auto start = Clock::now();
   bool draining = false;
@@ -93,7 +95,7 @@
     for (TestConnection& worker : workers)
       if (has_input(worker)) worker.answer_command(worker_reply("v"));
     for (LoadClient& client : clients)
-      if (has_input(client.connection)) client.read_response(result, next_id);
+      if (has_input(client.connection)) client.read_response(result, last_id);
     if (deployment.worker(0).has_connection_within(0ms)) workers.push_back(deployment.worker(0).accept());
   }
   REQUIRE(result.closed_connections == clients.size());
--- a/test/net/endpoint_discovery_test.cpp
+++ b/test/net/endpoint_discovery_test.cpp
@@ -43,8 +43,7 @@
   REQUIRE(deployment.no_attempt_for(50ms));
 }
 
-TEST_CASE(
-    "when a watch receives only parts of a line another one is opened, and the first stays open meanwhile") {
+TEST_CASE("when a watch receives only parts of a line, another one is opened and the first stays open") {
   Deployment deployment(2);
   TestConnection client = deployment.ready_client();
   auto [watch, request] = deployment.take_watch();
@@ -53,7 +52,7 @@
   int spaces = 0;
   while (!deployment.discovery.has_connection_within(100ms) && ++spaces < 60) watch.send(" ");
   REQUIRE(Clock::now() - start > 2s);
-  // Changes must be known within 6 s, and the rest of that time is for another request.
+  // The gateway must know of changes within 6 s. The rest of that time is for another request.
   REQUIRE(Clock::now() - start < 4s);
   const TestConnection unanswered = deployment.discovery.accept();
   auto [new_watch, new_request] = deployment.take_watch();
@@ -96,16 +95,16 @@
 }
 
 TEST_CASE(
-    "in on_request mode a parallel request for the endpoint list is sent when the first response is late") {
+    "in on_request mode, a hedged request for the endpoint list is sent when the first response is late") {
   Deployment deployment(2);
   deployment.config["settings"]["registry_mode"] = "on_request";
   deployment.start();
   TestConnection unanswered = deployment.discovery.accept();
   const auto start = Clock::now();
-  TestConnection parallel = deployment.discovery.accept();
-  REQUIRE(seconds_since(start) < 3);  // changes must be known within 6 s
-  parallel.receive_http_head();
-  parallel.send(std::string(kHttpOkChunked) + watch_event(deployment.endpoint_list(42, "terminating")));
+  TestConnection hedged_watch = deployment.discovery.accept();
+  REQUIRE(seconds_since(start) < 3);  // the gateway must know of changes within 6 s
+  hedged_watch.receive_http_head();
+  hedged_watch.send(std::string(kHttpOkChunked) + watch_event(deployment.endpoint_list(42, "terminating")));
   REQUIRE(unanswered.reaches_end());
   REQUIRE(deployment.gateway.logs("reason=redundant"));
 }
@@ -143,8 +142,8 @@
         const auto start = Clock::now();
         while (!deployment.gateway.has_logged("ready name") && seconds_since(start) < 12)
           std::this_thread::sleep_for(20ms);
-        // The gateway waits for discovery for nearly all of that time, because it must apply any changes that
-        // discovery reports.
+        // The gateway waits for discovery for nearly ten seconds, because the cached endpoint list may be
+        // outdated.
         REQUIRE(seconds_since(start) > 8);
         return seconds_since(start) < 10;
       },
--- a/test/net/gateway_config_test.cpp
+++ b/test/net/gateway_config_test.cpp
@@ -13,7 +13,7 @@
 namespace ironquay::net {
 namespace {
 
-// A temporary configuration file. GW_CONFIG names it for the lifetime of this object.
+/// A temporary configuration file. GW_CONFIG names it for the lifetime of this object.
 class ConfigFile {
  public:
   explicit ConfigFile(const std::string& text) {
@@ -42,7 +42,7 @@
           {"settings", default_settings()}};
 }
 
-// The key and the text of the error that the configuration causes; both are empty if there is no error.
+/// The key and the text of the error that the configuration causes; both are empty if there is no error.
 std::pair<std::string, std::string> error_of(const Json& config) {
   const ConfigFile file(config.dump());
   try {
--- a/test/net/reload_test.cpp
+++ b/test/net/reload_test.cpp
@@ -36,7 +36,7 @@
   REQUIRE(watch.receives_nothing_for(20ms));  // the watch stays open until the new address has answered
   new_watch.send(std::string(kHttpOk) + deployment.endpoint_list(7, "in_service").dump(2));
   REQUIRE(watch.reaches_end());
-  // The third call is answered first. Only the first one is within the quota.
+  // The reply to the third call arrives first. Only the first request is within the quota.
   client.send(small_plan_lookup("3"));
   new_counter.accept().answer_command(bulk_string("1000000"));
   counter.send(bulk_string("1") + bulk_string("1000000"));
--- a/test/net/support/deployment.hpp
+++ b/test/net/support/deployment.hpp
@@ -14,8 +14,8 @@
 
 namespace ironquay::net {
 
-/// How long the gateway waits after a reply before it reuses the worker connection, because a duplicate reply
-/// may follow.
+/// How long the gateway waits after a reply before it reuses the worker connection. A duplicate reply may
+/// arrive in this time.
 constexpr Milliseconds kReuseDelay = 20ms;
 
 /// A connection that the gateway opened to a worker for an attempt.
@@ -53,7 +53,7 @@
   TestConnection connect() const { return TestConnection(connect_tcp(address_)); }
   const Address& address() const { return address_; }
 
-  /// Waits for the next connection to any worker; fails the test if there is none within kWaitTimeout.
+  /// Accepts the next connection to any worker; fails the test if there is none within kWaitTimeout.
   Attempt next_attempt();
   /// Whether no worker receives a connection. Waits for `duration` for each worker in turn.
   bool no_attempt_for(Milliseconds duration) const;
--- a/test/net/support/frontend_fixture.hpp
+++ b/test/net/support/frontend_fixture.hpp
@@ -31,7 +31,7 @@
     if (disconnect_hook) disconnect_hook(exchange);
   }
   void on_deadline_shortened(Exchange& exchange) override {
-    ++deadlines_shortened;
+    ++shortened_deadline_count;
     shortened_time_left = exchange.time_left;
   }
 
@@ -73,10 +73,10 @@
   EventLoop loop;
   std::size_t request_count = 0;             // requests received
   std::size_t disconnect_count = 0;          // requests whose client disconnected before the response
-  std::size_t deadlines_shortened = 0;       // requests whose deadline a drain has shortened
+  std::size_t shortened_deadline_count = 0;  // requests whose deadline a drain has shortened
   std::vector<Duration> received_time_left;  // the time left of each request when it was received
   Duration shortened_time_left{0};  // the new time left of the last request whose deadline was shortened
-  // Called at the end of on_request() and on_client_disconnect().
+  // If set, these are called at the end of on_request() and on_client_disconnect().
   std::function<void(Exchange&)> request_hook;
   std::function<void(Exchange&)> disconnect_hook;
   Frontend frontend;
--- a/test/net/support/full_backlog_server.hpp
+++ b/test/net/support/full_backlog_server.hpp
@@ -47,7 +47,7 @@
   }
 
   FileDescriptor fd_;
-  FileDescriptor filler_;
+  FileDescriptor filler_;  // the connection that fills the queue
   Address address_{};
 };
 
--- a/test/net/support/messages.hpp
+++ b/test/net/support/messages.hpp
@@ -30,7 +30,7 @@
 /// A lookup request with this client timeout.
 std::string lookup_with_timeout(std::string_view id, int timeout_ms);
 /// A lookup request on the plan "small". The gateway's quota slice does not cover its units, so the gateway
-/// queries the counter.
+/// calls the counter.
 std::string small_plan_lookup(std::string_view id, int units = 8, int timeout_ms = 1500);
 /// A request on a non-idempotent route.
 std::string pay_request(std::string_view id, int timeout_ms = 1500);
--- a/test/net/support/settings.hpp
+++ b/test/net/support/settings.hpp
@@ -7,14 +7,14 @@
 using Json = nlohmann::json;
 
 /// The settings of a route. `effect` is "read_like", "idempotency_key" or "non_idempotent".
-inline Json route_class(const char* name, const char* effect) {
+inline Json route_settings(const char* name, const char* effect) {
   return {{"name", name}, {"effect", effect},  {"on_time", 1000},    {"give_up", 3000},
           {"gain", 1.0},  {"late_share", 0.0}, {"key_scope", "all"}, {"key_ttl", 4000}};
 }
 
 /// The settings of a quota plan that refills at `units_per_second` and stores at most the units of one
 /// second.
-inline Json plan(const char* name, double units_per_second) {
+inline Json plan_settings(const char* name, double units_per_second) {
   return {{"name", name},        {"refill", units_per_second}, {"store_size", units_per_second},
           {"at_once", 0},        {"never_over_rate", 0.0},     {"hard_burst", 0.0},
           {"beyond_earns", 0.0}, {"overrun_cost", 1.0}};
@@ -25,9 +25,9 @@
 inline Json default_settings() {
   return {
       {"classes",
-       {route_class("lookup", "read_like"), route_class("order", "idempotency_key"),
-        route_class("pay", "non_idempotent")}},
-      {"plans", {plan("team", 1000.0), plan("small", 8.0)}},
+       {route_settings("lookup", "read_like"), route_settings("order", "idempotency_key"),
+        route_settings("pay", "non_idempotent")}},
+      {"plans", {plan_settings("team", 1000.0), plan_settings("small", 8.0)}},
       {"contract", {{"cold_share", 0.25}, {"warm_after", 15000}, {"fall", 1000}, {"ask_within", 10000}}},
       {"bounds",
        {{"cancelling", true},
--- a/test/net/upstream_attempt_test.cpp
+++ b/test/net/upstream_attempt_test.cpp
@@ -4,7 +4,7 @@
 namespace ironquay::net {
 namespace {
 
-TEST_CASE("after a refused connection even a non-idempotent request is retried at another worker") {
+TEST_CASE("after a refused connection, even a non-idempotent request is retried at another worker") {
   Deployment deployment;
   deployment.worker(0).close();
   TestConnection client = deployment.ready_client();
@@ -16,7 +16,7 @@
   REQUIRE(deployment.gateway.logs("reason=connection-refused"));
 }
 
-TEST_CASE("after a reset a lookup is retried at another worker and a non-idempotent request is not") {
+TEST_CASE("after a reset, a lookup is retried at another worker and a non-idempotent request is not") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE(
-    "a value over the usual limit is forwarded even in slow pieces, and one of gigabytes fails the request") {
+    "a value over 64 KB that arrives in slow pieces is forwarded, and one of gigabytes fails its request") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   client.send(lookup_request("1"));
--- a/test/net/upstream_connection_test.cpp
+++ b/test/net/upstream_connection_test.cpp
@@ -97,7 +97,7 @@
   repeat_until_in_time(second_request_within_reuse_delay, 200);
 }
 
-TEST_CASE("when a reused connection is reset a non-idempotent request fails and a keyed one is retried") {
+TEST_CASE("when a reused connection is reset, a non-idempotent request fails and a keyed one is retried") {
   Deployment deployment(1);
   TestConnection client = deployment.ready_client();
   const auto idle_worker_connection = [&] {
--- a/test/net/upstream_late_connect_test.cpp
+++ b/test/net/upstream_late_connect_test.cpp
@@ -1,16 +1,15 @@
 // Attempts that are no longer valid when their connection is established.
 // A worker with a full listen backlog accepts a connection only after seconds
-// (docs/incidents/rare-faults.md). An attempt that waits for the connection must not be sent if meanwhile the
-// worker starts to drain (it must get no new requests), the deduplication window ends (the request could be
-// executed twice) or the client disconnects (the result would be useless).
+// (docs/incidents/rare-faults.md). An attempt that waits for the connection must not be sent if one of these
+// events happens first: the worker starts to drain (it must get no new requests), the deduplication window
+// ends (the request could be executed twice), or the client disconnects (the result would be useless).
 #include "support/deployment.hpp"
 #include "support/full_backlog_server.hpp"
 
 namespace ironquay::net {
 namespace {
 
-/// Replaces worker 0 by `late_worker` and extends the time-outs, so that the gateway waits for its
-/// connection.
+/// Replaces worker 0 by `late_worker` and extends the timeouts, so that the gateway waits for its connection.
 void replace_worker_0(Deployment& deployment, const FullBacklogServer& late_worker) {
   deployment.config["settings"]["bounds"]["connect_timeout"] = 4000;
   set_client_timeout_and_objective(deployment.config["settings"], 6000);
