--- a/src/lab/loadgen/gateway_config_writer.cpp
+++ b/src/lab/loadgen/gateway_config_writer.cpp
@@ -7,7 +7,7 @@
 
 using Json = nlohmann::ordered_json;
 
-// What scenarios do not describe.
+// Settings that scenarios do not describe.
 constexpr int kPollDeadlineMs = 10'000;
 constexpr int kIdleTimeoutMs = 30'000;
 constexpr int kMaxRequestsInFlight = 10'000;
@@ -19,7 +19,8 @@
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
-const char* wire_name(Idempotency idempotency) {
+// The value of the key `effect` in the settings object.
+const char* effect_value(Idempotency idempotency) {
   switch (idempotency) {
     case Idempotency::idempotent:
       return "read_like";
@@ -33,7 +34,7 @@
 
 Json route_json(const std::string& name, const Route& route) {
   return {{"name", name},
-          {"effect", wire_name(route.idempotency)},
+          {"effect", effect_value(route.idempotency)},
           {"on_time", to_milliseconds(route.latency_objective)},
           {"give_up", to_milliseconds(route.client_timeout)},
           {"gain", route.priority_weight},
@@ -95,7 +96,7 @@
           {"settles", false}};
 }
 
-Json settings_json(const Scenario& scenario, int index, std::size_t gateways) {
+Json settings_json(const Scenario& scenario, int index, std::size_t gateway_count) {
   return {{"classes", routes_json(scenario)},
           {"plans", plans_json(scenario)},
           {"contract", contract_json(scenario.policy_settings.contract)},
@@ -105,7 +106,7 @@
           {"tariffs", {{"cross_zone", 0}}},
           {"report", {{"fields", Json::array()}, {"how", "off"}}},
           {"me", index},
-          {"siblings", gateways},
+          {"siblings", gateway_count},
           {"locality", "here"},
           {"round", to_milliseconds(scenario.policy_settings.tick)}};
 }
--- a/src/lab/loadgen/gateway_config_writer.hpp
+++ b/src/lab/loadgen/gateway_config_writer.hpp
@@ -1,4 +1,4 @@
-// Configurations for real gateways between stubs.
+// Writes the configuration with which a real gateway process runs a scenario between stub servers.
 #pragma once
 #include <nlohmann/json_fwd.hpp>
 #include <string>
@@ -8,15 +8,15 @@
 
 namespace ironquay::lab {
 
-// The addresses of a deployment, as IPv4 addresses with ports.
+// The addresses of a deployment's servers, each as "ADDRESS:PORT" with an IPv4 address.
 struct DeploymentAddresses {
-  std::vector<std::string> gateways;  // by index
+  std::vector<std::string> gateways;  // where the gateways listen, by gateway index
   std::string discovery;
   std::string counter;
 };
 
-// The object that the platform would pass in GW_CONFIG to the gateway of that index. Throws std::out_of_range
-// if there is no such gateway.
+// Returns the JSON object for the configuration file (GW_CONFIG) of the gateway with this index. Throws
+// std::out_of_range if `addresses` has no such gateway.
 nlohmann::ordered_json gateway_config(const Scenario& scenario, int index,
                                       const DeploymentAddresses& addresses);
 
--- a/src/lab/loadgen/load_connection.cpp
+++ b/src/lab/loadgen/load_connection.cpp
@@ -7,8 +7,10 @@
 namespace ironquay::lab {
 namespace {
 
+// RESP reply types.
 constexpr char kBulkString = '$';
 constexpr char kError = '-';
+// The text with which the error reply of a rejection begins.
 constexpr std::string_view kRejected = "BUSY";
 
 LoadOutcome outcome_of(const net::resp::Reply& reply) {
@@ -26,10 +28,10 @@
       stream_(loop, std::move(fd), *this, false),
       timeout_(loop, [this] { end_request_and_close(LoadOutcome::lost); }) {}
 
-void LoadConnection::send(const LoadRequest& request, Duration due_at, Duration deadline,
+void LoadConnection::send(const LoadRequest& request, Duration scheduled_at, Duration deadline,
                           std::string_view command) {
   request_ = request;
-  due_at_ = due_at;
+  scheduled_at_ = scheduled_at;
   in_flight_ = true;
   timeout_.expire_at(deadline);
   stream_.write({command});
@@ -59,7 +61,7 @@
 
 void LoadConnection::end_request(LoadOutcome outcome) {
   timeout_.stop();
-  if (std::exchange(in_flight_, false)) listener_.on_request_end(request_, due_at_, outcome);
+  if (std::exchange(in_flight_, false)) listener_.on_request_end(request_, scheduled_at_, outcome);
 }
 
 void LoadConnection::end_request_and_close(LoadOutcome outcome) {
--- a/src/lab/loadgen/load_connection.hpp
+++ b/src/lab/loadgen/load_connection.hpp
@@ -1,4 +1,4 @@
-// One connection of the load generator to a gateway.
+// A connection of the load generator to a gateway.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -12,25 +12,30 @@
 
 namespace ironquay::lab {
 
-// Carries one request at a time.
+// Carries one request at a time. A new connection accepts a request immediately, and the next ones after
+// Listener::on_idle().
 class LoadConnection : public net::EventLoop::Handler {
  public:
   class Listener {
    public:
     virtual ~Listener() = default;
-    virtual void on_request_end(const LoadRequest& request, Duration due_at, LoadOutcome outcome) = 0;
-    // The connection can carry the next request.
+    // The request that was scheduled for `scheduled_at` has ended.
+    virtual void on_request_end(const LoadRequest& request, Duration scheduled_at, LoadOutcome outcome) = 0;
+    // The connection is ready for the next request.
     virtual void on_idle(LoadConnection& connection) = 0;
-    // The connection has ended and has to be destroyed after the present event.
+    // The connection has ended. The listener must destroy it, but only after the current event has been
+    // handled.
     virtual void on_closed(LoadConnection& connection) = 0;
   };
 
-  // `loop` and `listener` must outlive the connection.
+  // `target` is the index of the gateway. `fd` is a socket whose connect may still be in progress; the
+  // connection takes ownership of it. `loop` and `listener` must outlive the connection.
   LoadConnection(net::EventLoop& loop, Listener& listener, std::size_t target, net::FileDescriptor fd);
 
-  // Sends a request that was scheduled for `due_at`. It is lost if there is no response before `deadline`.
-  void send(const LoadRequest& request, Duration due_at, Duration deadline, std::string_view command);
-  // Index of the gateway.
+  // Sends `command`, the encoded form of a request that was scheduled for `scheduled_at`. If there is no
+  // response before `deadline`, the request ends as lost and the connection is closed.
+  void send(const LoadRequest& request, Duration scheduled_at, Duration deadline, std::string_view command);
+  // The index of the gateway.
   std::size_t target() const { return target_; }
 
  private:
@@ -43,8 +48,8 @@
   std::size_t target_;
   net::TcpStream stream_;
   net::Timer timeout_;
-  LoadRequest request_;
-  Duration due_at_{0};
+  LoadRequest request_;  // the current or last request
+  Duration scheduled_at_{0};
   bool in_flight_ = false;
   bool closed_ = false;
 };
--- a/src/lab/loadgen/load_generator.cpp
+++ b/src/lab/loadgen/load_generator.cpp
@@ -15,13 +15,14 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::ordered_json;
 
-// More connections than a gateway accepts from clients. A request that finds no free one is lost.
+// Limit for the connections to all gateways together, above the number that a gateway accepts from clients. A
+// request is lost if the limit is reached and no connection to its gateway is idle.
 constexpr std::size_t kMaxConnections = 400;
-// A request that is sent later than this after its scheduled time shows that the generator itself was too
-// slow: the loop's timers have a granularity of a millisecond.
-constexpr Duration kLateStart = 10ms;
-// How often it looks whether the run is over.
-constexpr Duration kPollInterval = 100ms;
+// A request that is sent more than this after its scheduled time shows that the generator itself is too slow.
+// The event loop's timers have a granularity of 1 ms, so smaller delays are normal.
+constexpr Duration kLateSendThreshold = 10ms;
+// Interval between checks whether the run has ended or a stop was requested.
+constexpr Duration kEndCheckInterval = 100ms;
 
 double to_milliseconds(Duration duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
@@ -36,79 +37,86 @@
         plan_(plan),
         stop_(stop),
         requests_(scenario, plan.seed, plan.targets.size()),
-        idle_(plan.targets.size()),
+        idle_connections_(plan.targets.size()),
         by_route_(scenario.routes.size()),
         by_plan_(scenario.plans.size()),
-        arrival_(loop, [this] { send_due_requests(); }),
-        poll_(loop, [this] { stop_when_finished(); }) {}
+        next_request_timer_(loop, [this] { send_due_requests(); }),
+        end_check_timer_(loop, [this] { stop_when_finished(); }) {}
 
   Json run() {
-    began_at_ = due_at_ = loop_.now();
-    arrival_.expire_after(Duration(0));
-    poll_.expire_after(kPollInterval);
+    started_at_ = next_scheduled_at_ = loop_.now();
+    next_request_timer_.expire_after(Duration(0));
+    end_check_timer_.expire_after(kEndCheckInterval);
     loop_.run();
     return figures();
   }
 
  private:
-  void on_request_end(const LoadRequest& request, Duration due_at, LoadOutcome outcome) override {
+  void on_request_end(const LoadRequest& request, Duration scheduled_at, LoadOutcome outcome) override {
     --in_flight_;
-    count_end(request, outcome, to_milliseconds(loop_.now() - due_at));
+    count_request_end(request, outcome, to_milliseconds(loop_.now() - scheduled_at));
+  }
+  void on_idle(LoadConnection& connection) override {
+    idle_connections_[connection.target()].push_back(&connection);
   }
-  void on_idle(LoadConnection& connection) override { idle_[connection.target()].push_back(&connection); }
   void on_closed(LoadConnection& connection) override {
-    std::erase(idle_[connection.target()], &connection);
+    std::erase(idle_connections_[connection.target()], &connection);
     const auto owned = std::find_if(connections_.begin(), connections_.end(),
                                     [&](const auto& candidate) { return candidate.get() == &connection; });
     loop_.destroy_later(std::move(*owned));
     connections_.erase(owned);
   }
 
+  // Stops the loop when no request is scheduled or in flight.
   void stop_when_finished() {
-    if (stop_) arrival_.stop();
-    if (!arrival_.is_active() && in_flight_ == 0) return loop_.stop();
-    poll_.expire_after(kPollInterval);
+    if (stop_) next_request_timer_.stop();
+    if (!next_request_timer_.is_active() && in_flight_ == 0) return loop_.stop();
+    end_check_timer_.expire_after(kEndCheckInterval);
   }
 
-  // The scheduled times do not depend on the responses: everything that is due by now is sent.
+  // Sends all requests whose scheduled time has come, whether or not earlier ones have been answered, and
+  // sets the timer for the next one.
   void send_due_requests() {
-    while (due_at_ <= loop_.now() && !stop_) {
+    while (next_scheduled_at_ <= loop_.now() && !stop_) {
       send_request();
-      due_at_ += requests_.next_interval(plan_.rate);
-      if (due_at_ - began_at_ > plan_.length || sent_ >= plan_.max_requests) return;
+      next_scheduled_at_ += requests_.next_interval(plan_.rate);
+      if (next_scheduled_at_ - started_at_ > plan_.length || requests_sent_ >= plan_.max_requests) return;
     }
-    if (!stop_) arrival_.expire_at(due_at_);
+    if (!stop_) next_request_timer_.expire_at(next_scheduled_at_);
   }
 
+  // Sends the next request, or counts it as lost if its client has already timed out or there is no
+  // connection.
   void send_request() {
     const LoadRequest request = requests_.next_request();
     const Route& route = scenario_.policy_settings.routes[request.route];
-    const Duration deadline = due_at_ + route.client_timeout;
-    count_start(request);
+    const Duration deadline = next_scheduled_at_ + route.client_timeout;
+    count_request(request);
     LoadConnection* connection = deadline > loop_.now() ? take_connection(request.target) : nullptr;
-    if (!connection) return count_end(request, LoadOutcome::lost, 0);
+    if (!connection) return count_request_end(request, LoadOutcome::lost, 0);
     ++in_flight_;
     const std::string command = requests_.encode(request, deadline - loop_.now());
-    connection->send(request, due_at_, deadline, command);
+    connection->send(request, next_scheduled_at_, deadline, command);
   }
 
-  void count_start(const LoadRequest& request) {
-    const Duration delay = loop_.now() - due_at_;
-    max_delay_ = std::max(max_delay_, delay);
-    if (delay > kLateStart) ++late_starts_;
-    ++sent_;
+  void count_request(const LoadRequest& request) {
+    const Duration send_delay = loop_.now() - next_scheduled_at_;
+    max_send_delay_ = std::max(max_send_delay_, send_delay);
+    if (send_delay > kLateSendThreshold) ++late_sends_;
+    ++requests_sent_;
     by_route_[request.route].on_request();
     by_plan_[request.plan].on_request();
   }
 
-  void count_end(const LoadRequest& request, LoadOutcome outcome, double latency_ms) {
+  void count_request_end(const LoadRequest& request, LoadOutcome outcome, double latency_ms) {
     by_route_[request.route].on_request_end(outcome, latency_ms);
     by_plan_[request.plan].on_request_end(outcome, latency_ms);
   }
 
-  // An idle connection to the gateway, or else a new one. Null if there are too many or it cannot be made.
+  // Returns an idle connection to the gateway, or else a new one. Returns null if the connection limit is
+  // reached or the connection cannot be started.
   LoadConnection* take_connection(std::size_t target) {
-    std::vector<LoadConnection*>& idle = idle_[target];
+    std::vector<LoadConnection*>& idle = idle_connections_[target];
     if (!idle.empty()) {
       LoadConnection* connection = idle.back();
       idle.pop_back();
@@ -121,6 +129,7 @@
     return connections_.back().get();
   }
 
+  // A JSON object with the totals of each route or plan, by its name.
   template <typename Named>
   static Json by_name(const std::vector<Named>& names, const std::vector<LoadTotals>& totals) {
     Json json = Json::object();
@@ -134,11 +143,11 @@
     return {{"scenario", scenario_.name},
             {"seed", plan_.seed},
             {"rate", plan_.rate},
-            {"seconds", to_seconds(std::min(due_at_, loop_.now()) - began_at_)},
+            {"seconds", to_seconds(std::min(next_scheduled_at_, loop_.now()) - started_at_)},
             {"all", all.to_json()},
             {"routes", by_name(scenario_.routes, by_route_)},
             {"plans", by_name(scenario_.plans, by_plan_)},
-            {"behind", {{"calls", late_starts_}, {"worst_ms", to_milliseconds(max_delay_)}}}};
+            {"behind", {{"calls", late_sends_}, {"worst_ms", to_milliseconds(max_send_delay_)}}}};
   }
 
   net::EventLoop& loop_;
@@ -147,17 +156,17 @@
   const std::atomic<bool>& stop_;
   RequestFactory requests_;
   std::vector<std::unique_ptr<LoadConnection>> connections_;
-  std::vector<std::vector<LoadConnection*>> idle_;  // by target
+  std::vector<std::vector<LoadConnection*>> idle_connections_;  // by gateway index
   std::vector<LoadTotals> by_route_;
   std::vector<LoadTotals> by_plan_;
-  Duration began_at_{0};
-  Duration due_at_{0};  // when the next request is scheduled
-  Duration max_delay_{0};
-  std::uint64_t sent_ = 0;
+  Duration started_at_{0};
+  Duration next_scheduled_at_{0};  // scheduled time of the next request
+  Duration max_send_delay_{0};     // longest time by which a request was sent after its scheduled time
+  std::uint64_t requests_sent_ = 0;
   std::uint64_t in_flight_ = 0;
-  std::uint64_t late_starts_ = 0;
-  net::Timer arrival_;
-  net::Timer poll_;
+  std::uint64_t late_sends_ = 0;  // requests sent more than kLateSendThreshold after their scheduled time
+  net::Timer next_request_timer_;
+  net::Timer end_check_timer_;
 };
 
 }  // namespace
--- a/src/lab/loadgen/load_generator.hpp
+++ b/src/lab/loadgen/load_generator.hpp
@@ -1,5 +1,6 @@
-// Open-loop load on gateways: requests are scheduled independently of the responses, and latency counts from
-// the scheduled time, so that a stall of the gateways is not hidden by waiting for them.
+// An open-loop load generator for gateways. Requests are scheduled independently of the responses, and
+// latency is measured from the scheduled time. A stall of the gateways therefore shows in the latencies,
+// whereas a closed-loop generator would send fewer requests during the stall and hide it.
 #pragma once
 #include <atomic>
 #include <cstdint>
@@ -13,15 +14,15 @@
 namespace ironquay::lab {
 
 struct LoadPlan {
-  std::vector<net::Address> targets;  // the gateways, in the order of their indices
+  std::vector<net::Address> targets;  // addresses of the gateways, by index
   double rate = 10;                   // requests per second
-  Duration length{0};
-  std::uint64_t max_requests = 0;
+  Duration length{0};                 // time during which requests are sent
+  std::uint64_t max_requests = 0;     // the generator stops earlier after this number of requests
   std::uint32_t seed = 1;
 };
 
-// Runs the loop until all requests have ended, or soon after `stop` is set, and returns the figures that
-// docs/laboratory.md explains. The clients do not retry.
+// Runs `loop` until the plan is complete and all requests have ended, and returns the figures that
+// docs/laboratory.md explains. After `stop` is set, no further requests are sent. Clients do not retry.
 nlohmann::ordered_json generate_load(net::EventLoop& loop, const Scenario& scenario, const LoadPlan& plan,
                                      const std::atomic<bool>& stop);
 
--- a/src/lab/loadgen/load_totals.hpp
+++ b/src/lab/loadgen/load_totals.hpp
@@ -1,4 +1,4 @@
-// What the load generator measures.
+// Request counts and latencies that the load generator measures.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
@@ -6,21 +6,22 @@
 
 namespace ironquay::lab {
 
+// How a request of the load generator ended.
 enum class LoadOutcome {
   served,
-  rejected,
-  failed,
-  lost,  // no connection, a connection that ended, or no response before the client's timeout
+  rejected,  // the gateway answered `-BUSY`
+  failed,    // the gateway answered anything else
+  lost,      // no connection was available, the connection ended, or the client timed out
 };
 
-// Counts and latencies of requests that have something in common.
+// Counts and latencies of the requests of one route or plan.
 class LoadTotals {
  public:
   void on_request() { ++requests_; }
-  // `latency_ms` is counted for served requests only.
+  // `latency_ms` is recorded only for served requests.
   void on_request_end(LoadOutcome outcome, double latency_ms = 0);
   LoadTotals& operator+=(const LoadTotals& other);
-  // Counts, and quantiles of the latencies in milliseconds.
+  // The counts, and quantiles of the latencies in milliseconds.
   nlohmann::ordered_json to_json() const;
 
  private:
--- a/src/lab/loadgen/request_factory.cpp
+++ b/src/lab/loadgen/request_factory.cpp
@@ -10,12 +10,12 @@
 namespace ironquay::lab {
 namespace {
 
-// Customers of one plan are numbered from a multiple of this.
+// The customers of plan i are numbered from i * kCustomersPerPlan, so that numbers are unique over all plans.
 constexpr std::size_t kCustomersPerPlan = 1'000'000;
-// Verb, customer, tag, fields.
+// The words of a request command: verb, customer, request tag, fields.
 constexpr std::size_t kRequestWords = 4;
 
-// Units per second that the customers of each plan request together.
+// The total demand of the customers of each plan, in units per second.
 std::vector<double> plan_demands(const Scenario& scenario) {
   std::vector<double> demands;
   for (std::size_t i = 0; i < scenario.plans.size(); ++i) {
@@ -31,9 +31,10 @@
   return name;
 }
 
-std::string request_tag(std::uint32_t seed, std::uint64_t number) {
+// Identifies a request. It is also the idempotency key of a keyed request.
+std::string request_tag(std::uint32_t seed, std::uint64_t sequence_number) {
   char tag[24];
-  std::snprintf(tag, sizeof tag, "%08x%08llx", seed, static_cast<unsigned long long>(number));
+  std::snprintf(tag, sizeof tag, "%08x%08llx", seed, static_cast<unsigned long long>(sequence_number));
   return tag;
 }
 
@@ -43,26 +44,26 @@
 
 LoadRequest RequestFactory::next_request() {
   LoadRequest request;
-  request.number = ++last_number_;
+  request.sequence_number = ++last_sequence_number_;
   request.route =
       random_.weighted_index(scenario_.routes, [](const RouteTraffic& route) { return route.weight; });
   request.plan = random_.weighted_index(plan_demands(scenario_), [](double demand) { return demand; });
-  request.target = random_.below(targets_);
+  request.target = random_.below(target_count_);
   const auto customers = static_cast<std::size_t>(scenario_.plans[request.plan].customers);
   request.customer = request.plan * kCustomersPerPlan + random_.below(customers);
   request.units = 1 + random_.below(static_cast<std::size_t>(scenario_.policy_settings.max_units));
   return request;
 }
 
-std::string RequestFactory::encode(const LoadRequest& request, Duration time_left) const {
+std::string RequestFactory::encode(const LoadRequest& request, Duration remaining_time) const {
   const Idempotency idempotency = scenario_.policy_settings.routes[request.route].idempotency;
-  const auto time_left_ms = std::chrono::duration_cast<std::chrono::milliseconds>(time_left).count();
-  const std::string tag = request_tag(seed_, request.number);
+  const auto remaining_ms = std::chrono::duration_cast<std::chrono::milliseconds>(remaining_time).count();
+  const std::string tag = request_tag(seed_, request.sequence_number);
   std::string fields = "c=" + scenario_.routes[request.route].name;
   fields += ",t=" + scenario_.plans[request.plan].name;
-  fields += ",d=" + std::to_string(time_left_ms);
+  fields += ",d=" + std::to_string(remaining_ms);
   fields += ",units=" + std::to_string(request.units);
-  fields += ",spread=" + std::to_string(targets_);
+  fields += ",spread=" + std::to_string(target_count_);
   fields += ",first=0";
   if (idempotency == Idempotency::keyed) fields += ",k=" + tag;
   const char* verb = idempotency == Idempotency::idempotent ? "CALL.GET" : "CALL.POST";
--- a/src/lab/loopback.hpp
+++ b/src/lab/loopback.hpp
@@ -1,4 +1,4 @@
-// Addresses that the laboratory's programs may use.
+// Restricts the addresses that the laboratory uses to the loopback network.
 #pragma once
 #include <string>
 
@@ -6,8 +6,9 @@
 
 namespace ironquay::lab {
 
-// Parses an address such as "127.0.0.1:6379"; port 0 stands for any free one. Throws std::runtime_error if
-// the text is no address or the address is outside 127.0.0.0/8: the laboratory connects to nothing else.
+// Parses an address such as "127.0.0.1:6379". Port 0 lets the system choose a free port. Throws
+// std::runtime_error if the text is not an address, or if the address is outside of 127.0.0.0/8: the
+// laboratory must not put load on other machines.
 net::Address parse_loopback_address(const std::string& text);
 
 }  // namespace ironquay::lab
--- a/src/lab/random_stream.hpp
+++ b/src/lab/random_stream.hpp
@@ -1,4 +1,4 @@
-// Reproducible random numbers.
+// Reproducible random numbers for the laboratory's models.
 #pragma once
 #include <cstdint>
 #include <random>
@@ -9,11 +9,11 @@
 
 namespace ironquay::lab {
 
-// The random numbers of one model. Every model has a stream of its own, so that a change in one model leaves
-// the numbers that the others draw as they were.
+// The random numbers of one model. Every model has a stream of its own, so that a change in one model does
+// not change the numbers that other models draw.
 class RandomStream {
  public:
-  // The seed of the run and the model's name select the sequence.
+  // The seed of the run and the name of the model together determine the sequence of numbers.
   RandomStream(std::uint32_t seed, std::string_view model) {
     std::vector<std::uint32_t> words(model.begin(), model.end());
     words.push_back(seed);
@@ -23,12 +23,13 @@
 
   // Uniform in [0, 1).
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(engine_); }
+  // Exponentially distributed.
   double exponential(double mean) { return std::exponential_distribution<double>(1 / mean)(engine_); }
   // Uniform in [0, bound); `bound` must not be zero.
   std::size_t below(std::size_t bound) {
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(engine_);
   }
-  // The index of one of the items, each with a probability proportional to its weight.
+  // Draws the index of an item. The probability of each item is proportional to `weight(item)`.
   template <typename Items, typename Weight>
   std::size_t weighted_index(const Items& items, Weight weight) {
     double total = 0;
@@ -39,8 +40,9 @@
       position -= weight(items[index]);
     return index;
   }
+  // True with the given probability.
   bool chance(double probability) { return uniform() < probability; }
-  // Uniform between half of the mean and one and a half times the mean.
+  // Uniform in [0.5 * mean, 1.5 * mean).
   Duration jittered(Duration mean) { return std::chrono::duration_cast<Duration>(mean * (0.5 + uniform())); }
 
  private:
--- a/src/lab/stubs/stub_counter.cpp
+++ b/src/lab/stubs/stub_counter.cpp
@@ -14,15 +14,16 @@
 using net::resp::Command;
 using net::resp::ParseStatus;
 
-constexpr std::size_t kAddWords = 4;  // verb, name, amount, lifetime
-constexpr double kMaxAmount = 1e9;
-constexpr double kMinLifetimeMs = 1;
-constexpr double kMaxLifetimeMs = 60'000;
+constexpr std::size_t kAddWords = 4;       // words of a CNT.ADD command: verb, name, amount, lifetime
+constexpr double kMaxAmount = 1e9;         // units; a command with a larger amount is an error
+constexpr double kMinLifetimeMs = 1;       // a command with a shorter lifetime is an error
+constexpr double kMaxLifetimeMs = 60'000;  // a longer lifetime is shortened to this
 constexpr double kMillisecondsPerSecond = 1000;
 
 constexpr char kPong[] = "+PONG\r\n";
-constexpr char kUnknownCall[] = "-ERR no such call\r\n";
+constexpr char kCommandError[] = "-ERR no such call\r\n";
 
+// Returns nothing unless the whole text is a finite number.
 std::optional<double> parse_number(std::string_view text) {
   double value = 0;
   const char* last = text.data() + text.size();
@@ -31,6 +32,7 @@
   return value;
 }
 
+// The value with three decimals, as a RESP bulk string.
 std::string bulk_string(double value) {
   char digits[64];
   const int size = std::snprintf(digits, sizeof digits, "%.3f", value);
@@ -61,16 +63,18 @@
   return consumed;
 }
 
+// Executes the command and returns its reply.
 std::string StubCounter::execute(const Command& command) {
   if (command.words[0] == "PING") return kPong;
-  if (command.words[0] != "CNT.ADD" || command.word_count != kAddWords) return kUnknownCall;
+  if (command.words[0] != "CNT.ADD" || command.word_count != kAddWords) return kCommandError;
   const auto amount = parse_number(command.words[2]);
   const auto lifetime_ms = parse_number(command.words[3]);
   if (!amount || !lifetime_ms || std::abs(*amount) > kMaxAmount || *lifetime_ms < kMinLifetimeMs)
-    return kUnknownCall;
+    return kCommandError;
   return bulk_string(add(std::string(command.words[1]), *amount, *lifetime_ms));
 }
 
+// Returns the total after the addition.
 double StubCounter::add(const std::string& name, double amount, double lifetime_ms) {
   ++calls_;
   Total& total = totals_[name];
--- a/src/lab/stubs/stub_counter.hpp
+++ b/src/lab/stubs/stub_counter.hpp
@@ -1,4 +1,4 @@
-// The counter service of the platform, as the protocol describes it.
+// A stub of the platform's counter service. It speaks the counter's protocol on a loopback socket.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,19 +14,20 @@
 
 class StubCounter {
  public:
-  // `loop` must outlive the counter. Throws std::system_error if it cannot listen.
+  // Listens at `address`. Throws std::system_error if that fails. `loop` must outlive the counter.
   StubCounter(net::EventLoop& loop, const net::Address& address);
+  // The address that the counter listens at, with the actual port.
   std::string address() const { return server_.address(); }
 
-  // Injects a fault of the kinds counter_refuse and counter_silent; it ends after its length. Any fault may
-  // clear the totals at its end.
+  // Begins a fault, which ends after its length. The counter simulates the kinds counter_refuse and
+  // counter_silent. A fault of any kind may clear the totals when it ends.
   void inject(const Fault& fault);
-  // How many additions were made.
+  // The number of CNT.ADD commands executed.
   std::uint64_t calls() const { return calls_; }
 
  private:
   struct Total {
-    double value = 0;
+    double value = 0;  // units
     Duration expires_at{0};
   };
 
@@ -38,7 +39,7 @@
 
   net::EventLoop& loop_;
   std::map<std::string, Total> totals_;
-  bool refusing_ = false;
+  bool refusing_ = false;  // whether a counter_refuse fault is active
   std::uint64_t calls_ = 0;
   TimerSet timers_;
   StubServer server_;
--- a/src/lab/stubs/stub_discovery_agent.cpp
+++ b/src/lab/stubs/stub_discovery_agent.cpp
@@ -9,12 +9,12 @@
 
 using namespace std::chrono_literals;
 
-// Watches receive an empty line this often, so that they can tell that the agent lives.
+// Watches receive an empty line at this interval, so that gateways can detect a failed agent by its silence.
 constexpr Duration kKeepAliveInterval = 2s;
 constexpr char kKeepAliveChunk[] = "1\r\n\n\r\n";
 
-// A request whose head is longer is not completed any more.
-constexpr std::size_t kMaxHead = 8192;
+// A connection is closed if the head of a request exceeds this number of bytes.
+constexpr std::size_t kMaxHeadBytes = 8192;
 constexpr std::string_view kEndOfHead = "\r\n\r\n";
 constexpr std::string_view kListRequest = "GET /discovery/hosts ";
 constexpr std::string_view kListRequestWithQuery = "GET /discovery/hosts?";
@@ -37,6 +37,7 @@
   return "";
 }
 
+// Encodes the text as one chunk of a chunked HTTP response.
 std::string chunk(const std::string& text) {
   char size[24];
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -62,7 +63,8 @@
   });
 }
 
-// The hosts that have changed since that version; without a version all that are not terminated.
+// The list of the hosts that have changed since `version`, as a line of JSON. If `version` is kNoVersion, the
+// list is complete and contains all hosts that are not terminated.
 std::string StubDiscoveryAgent::hosts_since(Version version) const {
   const bool complete = version < 0;
   nlohmann::json list = {{"seq", version_}, {"whole", complete}, {"hosts", nlohmann::json::array()}};
@@ -83,7 +85,7 @@
 
 std::size_t StubDiscoveryAgent::on_bytes(StubServer::Connection& connection, std::string_view bytes) {
   const auto end = bytes.find(kEndOfHead);
-  if (end == std::string_view::npos) return bytes.size() > kMaxHead ? StubServer::kCloseConnection : 0;
+  if (end == std::string_view::npos) return bytes.size() > kMaxHeadBytes ? StubServer::kCloseConnection : 0;
   on_request(connection, bytes.substr(0, bytes.find("\r\n")));
   return end + kEndOfHead.size();
 }
@@ -106,7 +108,8 @@
 
 void StubDiscoveryAgent::start_watch(StubServer::Connection& connection, Version from) {
   watches_[connection.id()] = from;
-  // A silent agent does not answer; the end of its silence breaks the connection.
+  // A silent agent does not respond. When the fault ends, the agent closes the connection and the gateway
+  // reconnects.
   if (silent_) return;
   connection.send(kWatchHead);
   send_changes(connection, from > version_ ? kNoVersion : from);
--- a/src/lab/stubs/stub_discovery_agent.hpp
+++ b/src/lab/stubs/stub_discovery_agent.hpp
@@ -1,5 +1,5 @@
-// The agent that serves the list of workers, as the protocol describes it: complete lists on request, and
-// watches that stream the changes.
+// A stub of the platform's discovery service. On a loopback socket, it serves complete lists of workers on
+// request, and watches that stream the changes of the list.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,31 +14,33 @@
 
 namespace ironquay::lab {
 
-// The value of the `health` field on the wire.
+// The health of a host. The enumerators are the values of the field `health` on the wire.
 enum class HostHealth { in_service, terminating, terminated };
 
 class StubDiscoveryAgent {
  public:
-  // `loop` must outlive the agent. Throws std::system_error if it cannot listen.
+  // Listens at `address`. Throws std::system_error if that fails. `loop` must outlive the agent.
   StubDiscoveryAgent(net::EventLoop& loop, const net::Address& address);
+  // The address that the agent listens at, with the actual port.
   std::string address() const { return server_.address(); }
 
-  // Adds or changes a host and notifies the watches.
+  // Adds or changes a host and sends the change to all watches. `started_at` is when the worker started; 0 if
+  // that was long ago.
   void set_host(const std::string& name, const std::string& worker_address, HostHealth health,
                 Duration started_at = Duration(0));
-  // Injects a fault of the kind discovery_silent; it ends after its length. Other kinds are ignored.
+  // Begins a fault of the kind discovery_silent, which ends after its length. Other kinds are ignored.
   void inject(const Fault& fault);
 
  private:
-  using Version = std::int64_t;
-  // A watch that starts from this version receives a complete list first.
+  using Version = std::int64_t;  // of the list of hosts; every change increments it
+  // A watch that starts from this version has no list yet and receives a complete one first.
   static constexpr Version kNoVersion = -1;
 
   struct Host {
     std::string worker_address;
     HostHealth health = HostHealth::in_service;
     Duration started_at{0};
-    Version version = 0;  // of the list that has this change
+    Version version = 0;  // version of the list that first contained the last change of the host
   };
 
   std::size_t on_bytes(StubServer::Connection& connection, std::string_view bytes);
@@ -50,8 +52,8 @@
 
   std::map<std::string, Host> hosts_;
   Version version_ = 1;
-  std::map<std::uint64_t, Version> watches_;  // the version last sent, by connection
-  bool silent_ = false;
+  std::map<std::uint64_t, Version> watches_;  // the list version that each watch has, by connection id
+  bool silent_ = false;                       // whether a discovery_silent fault is active
   net::Timer keep_alive_;
   TimerSet timers_;
   StubServer server_;
--- a/src/lab/stubs/stub_server.cpp
+++ b/src/lab/stubs/stub_server.cpp
@@ -28,7 +28,7 @@
     connections_.push_back(std::make_unique<Connection>(*this, ++last_id_, std::move(fd)));
 }
 
-StubServer::Connection* StubServer::find(std::uint64_t id) {
+StubServer::Connection* StubServer::find_connection(std::uint64_t id) {
   for (const auto& connection : connections_)
     if (connection->id() == id) return connection.get();
   return nullptr;
--- a/src/lab/stubs/stub_server.hpp
+++ b/src/lab/stubs/stub_server.hpp
@@ -1,4 +1,4 @@
-// A TCP server on loopback, on which the stubs of the platform's services are built.
+// The TCP server on which the stubs of the platform's services are built.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,12 +15,13 @@
 
 class StubServer : net::EventLoop::Handler {
  public:
+  // A connection that a client has opened.
   class Connection : public net::EventLoop::Handler {
    public:
     Connection(StubServer& server, std::uint64_t id, net::FileDescriptor fd)
         : server_(server), id_(id), stream_(server.loop_, std::move(fd), *this, true) {}
     void send(std::string_view bytes) { stream_.write({bytes}); }
-    // Unique among all connections that the server ever had.
+    // Unique among all connections of the server, including closed ones.
     std::uint64_t id() const { return id_; }
 
    private:
@@ -33,28 +34,29 @@
     bool closed_ = false;
   };
 
-  // Receives all unread bytes of a connection and returns how many of them it has consumed, or
-  // kCloseConnection.
+  // Receives all unconsumed bytes of a connection and returns the number of bytes that it has consumed, or
+  // kCloseConnection to close the connection.
   using OnBytes = std::function<std::size_t(Connection&, std::string_view)>;
   static constexpr std::size_t kCloseConnection = static_cast<std::size_t>(-1);
 
-  // Listens at once. Throws std::system_error if that fails. `loop` must outlive the server.
+  // Listens at `address`. Throws std::system_error if that fails. `loop` must outlive the server.
   StubServer(net::EventLoop& loop, const net::Address& address, OnBytes on_bytes);
   ~StubServer() override;
   StubServer(const StubServer&) = delete;
   StubServer& operator=(const StubServer&) = delete;
 
-  // The address that it listens at, with the actual port.
+  // The address that the server listens at, with the actual port.
   std::string address() const;
-  // Null if the connection has ended.
-  Connection* find(std::uint64_t id);
+  // Returns null if the connection has ended.
+  Connection* find_connection(std::uint64_t id);
   template <typename Action>
   void for_each_connection(Action action) {
     for (auto& connection : connections_) action(*connection);
   }
-  // Closes all connections, as the end of a process does.
+  // Closes all connections, as happens when a process ends.
   void disconnect_all();
-  // An unresponsive server discards what it receives, as a machine that has vanished does.
+  // While the server is unresponsive, it accepts connections and discards all bytes that it receives. To
+  // clients, this looks like a machine that has become unreachable.
   void set_unresponsive(bool unresponsive) { unresponsive_ = unresponsive; }
 
  private:
--- a/src/lab/stubs/stub_worker.cpp
+++ b/src/lab/stubs/stub_worker.cpp
@@ -12,20 +12,23 @@
 using net::resp::Command;
 using net::resp::ParseStatus;
 
-// How often a hung worker's finished job looks whether the worker responds again.
-constexpr Duration kHangCheckInterval = 50ms;
-// A slowdown factor must not stop time.
+// While the worker hangs, the end of each of its jobs is postponed by this interval, until the worker has
+// recovered.
+constexpr Duration kHangRetryInterval = 50ms;
+// Lower bound of a slowdown factor. With a factor of 0, jobs would take no time.
 constexpr double kMinSlowdown = 1e-3;
 
-// The words of a request: verb, customer, tag, fields.
+// The words of a request command are its verb, customer, request tag and fields.
 constexpr std::size_t kRequestWords = 4;
-constexpr std::size_t kFieldsWord = 3;
+constexpr std::size_t kFieldsWord = 3;  // index of the fields
 
 constexpr char kPong[] = "+PONG\r\n";
 constexpr char kSyntaxError[] = "-SYNTAX\r\n";
 constexpr char kBusy[] = "-BUSY\r\n";
 constexpr char kFailed[] = "-ERR failed\r\n";
 
+// The response to a request that was executed: an array of a body and two nulls, because the stub reports
+// neither the units used nor its load.
 std::string served_response() {
   std::string response = "*3\r\n";
   net::resp::append_bulk_string(response, "served");
@@ -64,12 +67,13 @@
 }
 
 void StubWorker::on_command(std::uint64_t connection, const Command& command) {
-  const ResponseSlot slot{connection, pipelines_[connection].next_position++};
+  const ResponseSlot slot{connection, pipelines_[connection].next_command++};
   if (command.words[0] == "PING") return respond(slot, kPong);
   if (!is_request(command)) return respond(slot, kSyntaxError);
   on_request(slot, command);
 }
 
+// Queues the request, or rejects it if the worker is draining or its queue is full.
 void StubWorker::on_request(const ResponseSlot& slot, const Command& command) {
   ++received_;
   if (draining_ || !has_capacity()) return respond(slot, kBusy);
@@ -85,13 +89,14 @@
   return queue_.size() + static_cast<std::size_t>(busy_cores_) < scenario_.workers.capacity();
 }
 
-// The last route if none has the name.
+// The index of the route with this name, or of the last route if none has it.
 std::size_t StubWorker::find_route(std::string_view name) const {
   std::size_t route = 0;
   while (route + 1 < scenario_.routes.size() && scenario_.routes[route].name != name) ++route;
   return route;
 }
 
+// Executes queued requests while the worker has free cores.
 void StubWorker::execute_queued() {
   while (!hung_ && !crashed_ && busy_cores_ < scenario_.workers.cores && !queue_.empty()) {
     const Job job = queue_.front();
@@ -104,22 +109,25 @@
 
 void StubWorker::finish(const Job& job) {
   if (crashed_) return;
-  if (hung_) return timers_.run_in(kHangCheckInterval, [this, job] { finish(job); });
+  if (hung_) return timers_.run_in(kHangRetryInterval, [this, job] { finish(job); });
   --busy_cores_;
   ++executed_;
   respond(job.slot, random_.chance(error_rate_) ? kFailed : served_response());
   execute_queued();
 }
 
+// Sends the response, and those that wait for it, once all earlier responses on the connection have been
+// sent.
 void StubWorker::respond(const ResponseSlot& slot, std::string response) {
   Pipeline& pipeline = pipelines_[slot.connection];
-  pipeline.waiting[slot.position] = std::move(response);
-  StubServer::Connection* connection = server_.find(slot.connection);
+  pipeline.pending_responses[slot.position] = std::move(response);
+  StubServer::Connection* connection = server_.find_connection(slot.connection);
   if (!connection) return void(pipelines_.erase(slot.connection));
-  for (auto next = pipeline.waiting.find(pipeline.next_response); next != pipeline.waiting.end();
-       next = pipeline.waiting.find(++pipeline.next_response)) {
+  auto& pending = pipeline.pending_responses;
+  for (auto next = pending.find(pipeline.next_response); next != pending.end();
+       next = pending.find(++pipeline.next_response)) {
     connection->send(next->second);
-    pipeline.waiting.erase(next);
+    pending.erase(next);
   }
 }
 
@@ -165,7 +173,7 @@
       hung_ = false;
       break;
     case FaultKind::worker_vanish:
-      // The connections did not survive the loss of the machine.
+      // Connections to an unreachable machine do not survive, so they are closed.
       server_.set_unresponsive(false);
       server_.disconnect_all();
       break;
--- a/src/lab/stubs/stub_worker.hpp
+++ b/src/lab/stubs/stub_worker.hpp
@@ -1,4 +1,4 @@
-// A worker of the platform, as the protocol describes it.
+// A stub of one of the platform's workers. It speaks the workers' protocol on a loopback socket.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -14,37 +14,43 @@
 
 namespace ironquay::lab {
 
-// Cores that serve one bounded queue. Responses on a connection come in the order of its commands.
+// Executes requests on a number of cores that serve one bounded queue. Each request takes a random execution
+// time, as the scenario describes it. On each connection, responses are sent in the order of the commands.
 class StubWorker {
  public:
-  // `loop` and `scenario` must outlive the worker. Throws std::system_error if it cannot listen.
+  // Listens at `address`. Throws std::system_error if that fails. `loop` and `scenario` must outlive the
+  // worker.
   StubWorker(net::EventLoop& loop, const net::Address& address, const Scenario& scenario, std::uint32_t seed);
+  // The address that the worker listens at, with the actual port.
   std::string address() const { return server_.address(); }
 
-  // Injects a fault of the worker_* kinds; it ends after its length. Other kinds are ignored.
+  // Begins a fault of one of the worker_* kinds, which ends after its length. Other kinds are ignored.
   void inject(const Fault& fault);
-  // From now on requests are rejected.
+  // Makes the worker reject all requests that arrive from now on.
   void drain() { draining_ = true; }
 
-  // How many requests were received, and how many were executed.
+  // The number of requests received, including rejected ones.
   std::uint64_t received() const { return received_; }
+  // The number of requests executed to their end.
   std::uint64_t executed() const { return executed_; }
 
  private:
-  // The place of a response among those of its connection.
+  // The position of a response in the order of the responses on its connection.
   struct ResponseSlot {
-    std::uint64_t connection = 0;
-    std::uint64_t position = 0;
+    std::uint64_t connection = 0;  // identifier of the connection
+    std::uint64_t position = 0;    // from 0
   };
   struct Job {
     ResponseSlot slot;
-    std::size_t route = 0;
-    double size = 1;  // its units, relative to the mean
+    std::size_t route = 0;  // index into Scenario::routes
+    double size = 1;        // units of the request, divided by the mean units of a request
   };
+  // The pipelined commands of one connection.
   struct Pipeline {
-    std::uint64_t next_position = 0;
-    std::uint64_t next_response = 0;
-    std::map<std::uint64_t, std::string> waiting;  // responses that wait for earlier ones, by position
+    std::uint64_t next_command = 0;   // position of the response to the next command that arrives
+    std::uint64_t next_response = 0;  // position of the next response to be sent
+    // Responses that cannot be sent before earlier ones, by position.
+    std::map<std::uint64_t, std::string> pending_responses;
   };
 
   std::size_t on_bytes(StubServer::Connection& connection, std::string_view bytes);
@@ -62,10 +68,10 @@
   const Scenario& scenario_;
   RandomStream random_;
   std::deque<Job> queue_;
-  std::map<std::uint64_t, Pipeline> pipelines_;  // by connection
+  std::map<std::uint64_t, Pipeline> pipelines_;  // by connection identifier
   int busy_cores_ = 0;
-  double slowdown_ = 1;
-  double error_rate_ = 0;
+  double slowdown_ = 1;    // multiplies the execution time
+  double error_rate_ = 0;  // probability that a response is an error
   bool hung_ = false;
   bool draining_ = false;
   bool crashed_ = false;
--- a/test/lab/cli_test.cpp
+++ b/test/lab/cli_test.cpp
@@ -1,4 +1,4 @@
-// The command line of ironquay-lab.
+// Tests of the command line of ironquay-lab: its exit codes and its restriction to loopback addresses.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -8,7 +8,7 @@
 namespace ironquay::lab {
 namespace {
 
-TEST_CASE("the program's exit codes: 0 for a run, 2 for wrong usage or a wrong file") {
+TEST_CASE("ironquay-lab exits with 0 after a run and with 2 after a usage error or an unreadable scenario") {
   CHECK(lab_exit_code("emulate " + scenario_path("plain") + " --seed 2 --seeds 2") == 0);
   CHECK(lab_exit_code("--help") == 0);
   CHECK(lab_exit_code("") == 2);
@@ -17,9 +17,9 @@
   CHECK(lab_exit_code("emulate " + std::string(IRONQUAY_ROOT) + "/README.md") == 2);
 }
 
-TEST_CASE("load and stubs use loopback only, and bad input ends with its reason") {
+TEST_CASE("load and stubs accept loopback addresses only, and invalid arguments end with exit code 2") {
   CHECK_THROWS_WITH(parse_loopback_address("192.0.2.1:80"), "not in 127.0.0.0/8: '192.0.2.1:80'");
-  CHECK_THROWS_WITH(parse_loopback_address("127.0.0.1"), "no address: '127.0.0.1'");
+  CHECK_THROWS_WITH(parse_loopback_address("127.0.0.1"), "not an address: '127.0.0.1'");
   CHECK(net::to_string(parse_loopback_address("127.9.9.9:5")) == "127.9.9.9:5");
   const std::string file = scenario_path("plain") + " ";
   CHECK(lab_exit_code("load " + file + "--target 10.0.0.1:80") == 2);
--- a/test/lab/invariant_checker_test.cpp
+++ b/test/lab/invariant_checker_test.cpp
@@ -1,4 +1,4 @@
-// The invariant checker, against policies that are wrong on purpose.
+// Tests of the invariant checker with policies that violate one invariant each.
 #include "lab/emulator/invariant_checker.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,9 +16,9 @@
 
 using namespace std::chrono_literals;
 
-// A policy whose reactions a test replaces by wrong ones.
-struct WrongPolicy : PolicyUnderTest {
-  explicit WrongPolicy(Effects& gateway_effects) : effects(gateway_effects) {}
+// A policy whose reactions to events a test replaces by faulty ones.
+struct FaultyPolicy : PolicyUnderTest {
+  explicit FaultyPolicy(Effects& gateway_effects) : effects(gateway_effects) {}
   void on_endpoint_list_begin(Duration, EndpointListKind) override {}
   void on_endpoint(Duration, const EndpointUpdate& update) override {
     if (update.started_at > 0s) started_worker = update.worker;
@@ -38,13 +38,14 @@
   std::function<void(RequestId)> handle_request = [](RequestId) {};
   std::function<void(RequestId)> handle_attempt_end = [this](RequestId request) { effects.fail(request); };
   Effects& effects;
-  WorkerId started_worker = 0;  // the last one that started during the run
+  WorkerId started_worker = 0;  // the worker that started last during the run; 0: none has
 };
 
-// The rule that the policy violates first; empty if it violates none.
-std::string violated_rule(const Scenario& scenario, const std::function<void(WrongPolicy&)>& set_up) {
+// Emulates the scenario with the policy that `set_up` configures, and returns the rule that the policy
+// violates first; empty if it violates none.
+std::string violated_rule(const Scenario& scenario, const std::function<void(FaultyPolicy&)>& set_up) {
   const PolicyFactory make_policy = [&](PolicySettings, std::uint32_t, Duration, Effects& effects) {
-    auto policy = std::make_unique<WrongPolicy>(effects);
+    auto policy = std::make_unique<FaultyPolicy>(effects);
     set_up(*policy);
     return policy;
   };
@@ -52,61 +53,65 @@
   return violation.is_null() ? "" : violation["rule"].get<std::string>();
 }
 
-// Sends every request to the first worker and does what the test wants when that attempt has failed.
-std::function<void(WrongPolicy&)> after_failed_attempt(
-    const std::function<void(WrongPolicy&, RequestId)>& reaction) {
-  return [reaction](WrongPolicy& policy) {
+// Configures a policy that sends every request to the first worker, and reacts as the test says when that
+// attempt has failed.
+std::function<void(FaultyPolicy&)> after_failed_attempt(
+    const std::function<void(FaultyPolicy&, RequestId)>& reaction) {
+  return [reaction](FaultyPolicy& policy) {
     policy.handle_request = [&policy](RequestId request) { policy.send(request, 1); };
     policy.handle_attempt_end = [&policy, reaction](RequestId request) { reaction(policy, request); };
   };
 }
 
-std::function<void(WrongPolicy&)> on_request(const std::function<void(WrongPolicy&, RequestId)>& reaction) {
-  return [reaction](WrongPolicy& policy) {
+// Configures a policy that reacts to every request as the test says.
+std::function<void(FaultyPolicy&)> on_request(const std::function<void(FaultyPolicy&, RequestId)>& reaction) {
+  return [reaction](FaultyPolicy& policy) {
     policy.handle_request = [&policy, reaction](RequestId request) { reaction(policy, request); };
   };
 }
 
-TEST_CASE("each check fails where a policy does that wrong") {
+TEST_CASE("the checker reports the rule that a faulty policy violates") {
   const Scenario plain = make_scenario("");
-  const Scenario errors = make_scenario("[[fault]]\nkind = \"worker-error\"\nlength_ms = 9000\npart = 1\n",
-                                        "repeat = \"non-idempotent\"\n");
-  const Scenario cells = make_scenario(
+  const Scenario failing_workers = make_scenario(
+      "[[fault]]\nkind = \"worker-error\"\nlength_ms = 9000\npart = 1\n", "repeat = \"non-idempotent\"\n");
+  const Scenario single_worker_cells = make_scenario(
       "[workers]\ncell_size = 1\n[[fault]]\nkind = \"worker-error\"\npart = 1\n", "repeat = \"tokened\"\n");
   const Scenario replacement =
       make_scenario("[[fault]]\nkind = \"replace\"\nat_ms = 500\nlength_ms = 100\nworkers = [0]\n");
-  Scenario busy_replacement = replacement;
-  busy_replacement.plans[0].usual_use = 20;
+  Scenario overloaded_replacement = replacement;
+  overloaded_replacement.plans[0].usual_use = 20;
   const Scenario ceiling = make_scenario("", "", "use = 4\nceiling = 10\n");
 
   const auto retry_elsewhere =
-      after_failed_attempt([](WrongPolicy& policy, RequestId request) { policy.send(request, 2); });
+      after_failed_attempt([](FaultyPolicy& policy, RequestId request) { policy.send(request, 2); });
 
-  CHECK(violated_rule(plain, [](WrongPolicy&) {}) == "one final answer: none came");
-  CHECK(violated_rule(plain, on_request([](WrongPolicy& policy, RequestId request) {
+  CHECK(violated_rule(plain, [](FaultyPolicy&) {}) == "one final answer: none came");
+  CHECK(violated_rule(plain, on_request([](FaultyPolicy& policy, RequestId request) {
                         policy.effects.fail(request);
                         policy.effects.fail(request);
                       })) == "one final answer: a second one");
-  CHECK(violated_rule(plain, on_request([](WrongPolicy& policy, RequestId request) {
+  CHECK(violated_rule(plain, on_request([](FaultyPolicy& policy, RequestId request) {
                         policy.effects.fail(request);
                         policy.send(request, 1);
                       })) == "one final answer: sent after it");
-  CHECK(violated_rule(plain, on_request([](WrongPolicy& policy, RequestId request) {
+  CHECK(violated_rule(plain, on_request([](FaultyPolicy& policy, RequestId request) {
                         policy.send(request, 1);
                         policy.send(request, 2);
                       })) == "no effect twice: two tries out");
-  CHECK(violated_rule(errors, retry_elsewhere) == "no effect twice: sent again though it may have run");
-  CHECK(violated_rule(errors, after_failed_attempt([](WrongPolicy& policy, RequestId request) {
+  CHECK(violated_rule(failing_workers, retry_elsewhere) ==
+        "no effect twice: sent again though it may have run");
+  CHECK(violated_rule(failing_workers, after_failed_attempt([](FaultyPolicy& policy, RequestId request) {
                         policy.effects.reject(request, 0s);
                       })) == "no effect twice: rate-limited though it may have run");
-  CHECK(violated_rule(cells, retry_elsewhere) == "no effect twice: sent where its repeat is not known");
-  CHECK(violated_rule(replacement, on_request([](WrongPolicy& policy, RequestId request) {
+  CHECK(violated_rule(single_worker_cells, retry_elsewhere) ==
+        "no effect twice: sent where its repeat is not known");
+  CHECK(violated_rule(replacement, on_request([](FaultyPolicy& policy, RequestId request) {
                         policy.send(request, 1);
                       })) == "drains kept: sent to a worker that drains or is gone");
-  CHECK(violated_rule(busy_replacement, on_request([](WrongPolicy& policy, RequestId request) {
+  CHECK(violated_rule(overloaded_replacement, on_request([](FaultyPolicy& policy, RequestId request) {
                         policy.send(request, policy.started_worker ? policy.started_worker : 2);
                       })) == "cold workers not pushed over: one fell");
-  CHECK(violated_rule(ceiling, on_request([](WrongPolicy& policy, RequestId request) {
+  CHECK(violated_rule(ceiling, on_request([](FaultyPolicy& policy, RequestId request) {
                         policy.send(request, static_cast<WorkerId>(1 + request % 10));
                       })) == "ceilings kept: passed");
 }
--- a/test/lab/report_test.cpp
+++ b/test/lab/report_test.cpp
@@ -1,4 +1,4 @@
-// The report on emulator runs.
+// Tests of the report on emulator runs.
 #include "lab/report/report.hpp"
 
 #include <unistd.h>
@@ -18,7 +18,8 @@
 namespace ironquay::lab {
 namespace {
 
-// Four seeds in two variants, which differ in the number of attempts only.
+// Writes a run file with four seeds in two variants. The variants differ only in the number of attempts per
+// request, which is 0.5 higher for "slices alone".
 void write_runs(const std::string& path) {
   const Scenario scenario = make_scenario("");
   std::ofstream file(path);
@@ -32,10 +33,11 @@
   }
 }
 
-TEST_CASE("a report says what differs, and that nothing does where nothing does") {
+TEST_CASE("a report states which figures of two variants differ, and rejects files that are not runs") {
   const ConfidenceInterval interval = mean_confidence_interval({1, 2, 3, 4});
   CHECK(interval.mean == Approx(2.5));
-  // The t distribution with three degrees of freedom.
+  // 3.182 is the 97.5% quantile of the t distribution with three degrees of freedom, and 5/3 the sample
+  // variance.
   CHECK(interval.high - interval.mean == Approx(3.182 * std::sqrt(5.0 / 3) / 2).epsilon(0.001));
   const std::string runs = "/tmp/ironquay-lab-runs-" + std::to_string(getpid()) + ".jsonl";
   write_runs(runs);
--- a/test/lab/scenario_test.cpp
+++ b/test/lab/scenario_test.cpp
@@ -1,4 +1,4 @@
-// The scenario parser and its messages.
+// Tests of the scenario parser and its error messages.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -8,8 +8,8 @@
 namespace ironquay::lab {
 namespace {
 
-// Empty if there is nothing wrong.
-std::string error_of(const std::string& text) {
+// The parser's error message, or an empty string if it accepts the text.
+std::string parse_error(const std::string& text) {
   try {
     parse_scenario(text, "x.toml");
   } catch (const ScenarioError& error) {
@@ -18,30 +18,30 @@
   return "";
 }
 
-TEST_CASE("a wrong scenario is refused with file, line and reason, each mistake on its line") {
-  CHECK(error_of(scenario_text("")) == "");
-  CHECK(error_of("length_ms = ").substr(0, 9) == "x.toml:1:");
-  CHECK(error_of(scenario_text("manny = 3")) == "x.toml:4: unknown key gatekeepers.manny");
-  CHECK(error_of(scenario_text("tries = \"six\"")) == "x.toml:4: gatekeepers.tries is no number");
-  CHECK(error_of(scenario_text("tries = 1.5")) == "x.toml:4: gatekeepers.tries is no whole number");
-  CHECK(error_of(scenario_text("shift_ms = -1")) ==
+TEST_CASE("an invalid scenario is rejected with the file, the line and the reason of every error") {
+  CHECK(parse_error(scenario_text("")) == "");
+  CHECK(parse_error("length_ms = ").substr(0, 9) == "x.toml:1:");
+  CHECK(parse_error(scenario_text("manny = 3")) == "x.toml:4: unknown key gatekeepers.manny");
+  CHECK(parse_error(scenario_text("tries = \"six\"")) == "x.toml:4: gatekeepers.tries is no number");
+  CHECK(parse_error(scenario_text("tries = 1.5")) == "x.toml:4: gatekeepers.tries is no whole number");
+  CHECK(parse_error(scenario_text("shift_ms = -1")) ==
         "x.toml:4: gatekeepers.shift_ms is not within 0 and 3600000");
-  CHECK(error_of(scenario_text("shift_ms = nan")).find("is not within") != std::string::npos);
-  CHECK(error_of(scenario_text("[[fault]]\nkind = \"worker-hang\"\nworkers = [3, 10]\n")) ==
+  CHECK(parse_error(scenario_text("shift_ms = nan")).find("is not within") != std::string::npos);
+  CHECK(parse_error(scenario_text("[[fault]]\nkind = \"worker-hang\"\nworkers = [3, 10]\n")) ==
         "x.toml:6: fault[0].workers names a worker that does not exist");
-  CHECK(error_of(scenario_text("[[fault]]\nkind = \"comet\"\n")) ==
+  CHECK(parse_error(scenario_text("[[fault]]\nkind = \"comet\"\n")) ==
         "x.toml:4: fault[0] has no known kind: 'comet'");
-  const std::string good = scenario_text("");
-  CHECK(error_of(std::string(good).replace(good.find("quota = 10"), 10, "quota = 0")) ==
+  const std::string valid_text = scenario_text("");
+  CHECK(parse_error(std::string(valid_text).replace(valid_text.find("quota = 10"), 10, "quota = 0")) ==
         "x.toml:12: plan[0].quota is not within 0.001 and 1000000000");
-  CHECK(error_of("length_ms = 1000\n[[plan]]\nx = 1\ny = 2\n") ==
+  CHECK(parse_error("length_ms = 1000\n[[plan]]\nx = 1\ny = 2\n") ==
         "x.toml:3: unknown key plan[0].x\nx.toml:4: unknown key plan[0].y\nx.toml:1:  there is no [[route]]");
 }
 
-TEST_CASE("a scenario's mistakes can be told apart by line and key") {
+TEST_CASE("a ScenarioError lists every error with its line and key") {
   try {
     parse_scenario(scenario_text("manny = 3\ntries = 0\n[workers]\nfall_ms = 0\n"), "x.toml");
-    FAIL("accepted");
+    FAIL("the parser accepted an invalid scenario");
   } catch (const ScenarioError& error) {
     REQUIRE(error.issues().size() == 3);
     CHECK(error.issues()[0].line == 5);
--- a/test/lab/stub_server_test.cpp
+++ b/test/lab/stub_server_test.cpp
@@ -1,4 +1,4 @@
-// A real gateway between the stubs, under the load generator.
+// Tests of a real gateway process between stub servers, under load from the load generator.
 #include <fcntl.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -52,10 +52,11 @@
 )";
 
 constexpr Duration kPollInterval = 10ms;
-constexpr int kStartPolls = 500;
+constexpr int kMaxStartPolls = 500;  // the gateway must be ready within this number of poll intervals
 
 const net::Address kAnyPort = parse_loopback_address("127.0.0.1:0");
 
+// An address that no socket is bound to.
 net::Address find_free_address() {
   net::Address address = parse_loopback_address("127.77.1.1:0");
   const net::FileDescriptor socket = net::listen_tcp(address);
@@ -64,12 +65,13 @@
   return address;
 }
 
-// A gateway process with its configuration and its log in a temporary folder.
+// A gateway process, with its configuration file and its log in a temporary directory. The destructor kills
+// the process and removes the directory.
 class GatewayProcess {
  public:
   explicit GatewayProcess(const std::string& config) {
-    char folder[] = "/tmp/ironquay-stubs-XXXXXX";
-    folder_ = mkdtemp(folder);
+    char directory[] = "/tmp/ironquay-stubs-XXXXXX";
+    directory_ = mkdtemp(directory);
     std::ofstream(config_path()) << config;
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
@@ -84,7 +86,7 @@
   ~GatewayProcess() {
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
-    std::system(("rm -r " + folder_).c_str());
+    std::system(("rm -r " + directory_).c_str());
   }
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
@@ -94,25 +96,27 @@
     text << std::ifstream(log_path()).rdbuf();
     return text.str();
   }
+  // Returns when the log says that the gateway is ready, or after kMaxStartPolls.
   void wait_until_ready() const {
-    for (int i = 0; i < kStartPolls && log().find("ready") == std::string::npos; ++i)
+    for (int i = 0; i < kMaxStartPolls && log().find("ready") == std::string::npos; ++i)
       std::this_thread::sleep_for(kPollInterval);
   }
 
  private:
-  std::string config_path() const { return folder_ + "/config.json"; }
-  std::string log_path() const { return folder_ + "/log"; }
+  std::string config_path() const { return directory_ + "/config.json"; }
+  std::string log_path() const { return directory_ + "/log"; }
 
-  std::string folder_;
+  std::string directory_;
   pid_t pid_ = 0;
 };
 
-// Two workers, a counter and a discovery agent, which run in a thread of their own, and one gateway.
+// One gateway process, and stubs of two workers, the counter and the discovery service, which share one
+// thread.
 class Deployment {
  public:
   using Script = std::function<void(Deployment&)>;
 
-  // The script changes the stubs during the test; it runs in their thread.
+  // `script` may change the stubs during the test. It runs in the stubs' thread after start_script().
   explicit Deployment(const Script& script = [](Deployment&) {})
       : scenario(parse_scenario(kScenario, "test")),
         first_worker(loop_, kAnyPort, scenario, 1),
@@ -133,13 +137,15 @@
   Deployment(const Deployment&) = delete;
   Deployment& operator=(const Deployment&) = delete;
 
-  // Makes the stubs' thread run the script.
+  // Requests that the stubs' thread runs the script.
   void start_script() { script_requested_ = true; }
+  // Ends the stubs' thread, so that the test may read the stubs' counts.
   void stop_stubs() {
     stop_requested_ = true;
     if (thread_.joinable()) thread_.join();
   }
   std::string log() const { return gateway_->log(); }
+  // Sends `rate` requests per second to the gateway and returns the load generator's figures.
   nlohmann::ordered_json generate_load_for(Duration length, double rate) const {
     net::EventLoop loop;
     LoadPlan plan;
@@ -182,7 +188,8 @@
   std::thread thread_;
 };
 
-// Runs the load, and the deployment's script some time after its begin.
+// Generates load for `length`, and starts the deployment's script after `script_delay`. Stops the stubs and
+// returns the load generator's figures.
 nlohmann::ordered_json load_with_script(Deployment& deployment, Duration script_delay, Duration length,
                                         double rate) {
   std::thread script([&] {
@@ -195,7 +202,7 @@
   return figures;
 }
 
-TEST_CASE("between stubs a gateway serves the load, and every request is accounted for") {
+TEST_CASE("a gateway between stubs serves its load, and every request has one outcome") {
   Deployment deployment;
   const auto figures = deployment.generate_load_for(2s, 100);
   deployment.stop_stubs();
@@ -213,7 +220,7 @@
   CHECK(all["p99.9_ms"] >= all["p50_ms"]);
 }
 
-TEST_CASE("a worker that drains or fails loses no request, and nothing new is sent to one that drains") {
+TEST_CASE("a draining and a failing worker lose no requests, and a draining worker receives no new ones") {
   std::uint64_t received_before_drain = 0;
   Deployment deployment([&](Deployment& stubs) {
     stubs.agent.set_host("s-a", stubs.first_worker.address(), HostHealth::terminating);
@@ -227,13 +234,14 @@
   const auto figures = load_with_script(deployment, 500ms, 2s, 100);
   INFO(figures.dump(1) << deployment.log());
   CHECK(received_before_drain > 0);
-  // What was on its way when the agent sent the update may still arrive.
+  // Requests that were in flight when the agent sent the update may still arrive.
   CHECK(deployment.first_worker.received() <= received_before_drain + 3);
   CHECK(figures["all"]["lost"] == 0);
   CHECK(figures["all"]["admitted"] > figures["all"]["asked"].get<double>() / 2);
 }
 
-TEST_CASE("a stalled worker shows in latency from the schedule, not in fewer requests") {
+TEST_CASE(
+    "a stall of the workers raises the latency from the scheduled time and does not reduce the requests") {
   Deployment deployment([](Deployment& stubs) {
     Fault hang;
     hang.kind = FaultKind::worker_hang;
--- a/test/lab/support.hpp
+++ b/test/lab/support.hpp
@@ -1,4 +1,4 @@
-// What the laboratory's tests share: small scenarios, and runs of the ironquay-lab program.
+// Helpers of the laboratory's tests: small scenarios, and runs of the ironquay-lab program.
 #pragma once
 #include <sys/wait.h>
 
@@ -9,8 +9,9 @@
 
 namespace ironquay::lab {
 
-// A scenario with two gateways, one route "r" and one plan "p". `tables` goes behind the first keys of
-// [gatekeepers], which is on line 2; `route` and `plan` are further keys of theirs.
+// The text of a scenario with two gateways, one route "r" and one plan "p". `tables` is inserted as line 4,
+// after the first key of the table [gatekeepers]: it may hold further keys of that table, and then other
+// tables. `route` and `plan` hold further keys of the route and the plan.
 inline std::string scenario_text(const std::string& tables, const std::string& route = "",
                                  const std::string& plan = "") {
   return "length_ms = 4000\n[gatekeepers]\nmany = 2\n" + tables +
@@ -23,11 +24,12 @@
   return parse_scenario(scenario_text(tables, route, plan), "test.toml");
 }
 
+// The path of lab/NAME.toml in the source tree.
 inline std::string scenario_path(const std::string& name) {
   return std::string(IRONQUAY_ROOT) + "/lab/" + name + ".toml";
 }
 
-// Runs ironquay-lab; -1 if it did not exit by itself.
+// Runs ironquay-lab and returns its exit code, or -1 if a signal ended it.
 inline int lab_exit_code(const std::string& arguments) {
   const std::string command = std::string(IRONQUAY_LAB) + " " + arguments + " >/dev/null 2>&1";
   const int status = std::system(command.c_str());
