--- a/src/lab/emulator/client_population.cpp
+++ b/src/lab/emulator/client_population.cpp
@@ -107,6 +107,7 @@
   return {plan, session.route, route_of(session).priority_weight * session.units, session.within_quota};
 }
 
+// A customer sends a new request.
 void ClientPopulation::start_session(Session session) {
   Customer& customer = customer_at(session.customer);
   customer.units_requested += session.units;
@@ -135,9 +136,9 @@
 // is running.
 EmulatedGateway* ClientPopulation::choose_gateway(const Customer& customer) {
   const double exponent = 1 + 2 * scenario_.assignment.skew;
-  const int rank = static_cast<int>(std::pow(choices_.uniform(), exponent) * customer.gateway_spread);
+  const int distance = static_cast<int>(std::pow(choices_.uniform(), exponent) * customer.gateway_spread);
   for (int i = 0; i < customer.gateway_spread; ++i) {
-    const int offset = (customer.preferred_offset + rank + i) % customer.gateway_spread;
+    const int offset = (customer.preferred_offset + distance + i) % customer.gateway_spread;
     const int index = (customer.first_gateway + offset) % scenario_.gateway_count();
     EmulatedGateway& gateway = *gateways_[static_cast<std::size_t>(index)];
     if (gateway.is_running()) return &gateway;
@@ -168,7 +169,7 @@
   gateway.receive_request(std::move(request));
 }
 
-// Schedules a disconnection of the client at a random time before its timeout.
+// Schedules a disconnection of the client at a random time within `remaining_time`.
 void ClientPopulation::schedule_disconnect(const Session& session, RequestId id, EmulatedGateway& gateway,
                                            Duration remaining_time) {
   const Duration delay = from_seconds(to_seconds(remaining_time) * choices_.uniform());
@@ -177,6 +178,7 @@
   });
 }
 
+// A gateway has sent the first attempt of the customer's request.
 void ClientPopulation::on_forwarded(int customer_index, double units) {
   Customer& customer = customer_at(customer_index);
   customer.units_forwarded += units;
--- a/src/lab/emulator/emulated_workers.hpp
+++ b/src/lab/emulator/emulated_workers.hpp
@@ -20,7 +20,7 @@
 // still queued is not executed, unless the scenario's workers execute cancelled requests. A job that is being
 // executed runs to its end.
 struct WorkerJob {
-  std::size_t route = 0;
+  std::size_t route = 0;                   // index into Scenario::routes
   double size = 1;                         // units of the request, divided by the mean units of a request
   std::function<void(Outcome)> on_result;  // called when the result reaches the gateway
   bool cancelled = false;
--- a/src/lab/emulator/invariant_checker.cpp
+++ b/src/lab/emulator/invariant_checker.cpp
@@ -157,10 +157,10 @@
     total_weight += route.weight;
   }
   const double mean_work = weighted_work / total_weight;
-  const double share = capacity_share(contract, progress);
-  const double expected = scenario_.workers.overload_multiple * share * scenario_.workers.cores / mean_work *
-                          to_seconds(contract.overload_window);
-  return expected + kArrivalDeviations * std::sqrt(expected) + kExtraArrivals;
+  const double capacity_fraction = capacity_share(contract, progress);
+  const double expected_arrivals = scenario_.workers.overload_multiple * capacity_fraction *
+                                   scenario_.workers.cores / mean_work * to_seconds(contract.overload_window);
+  return expected_arrivals + kArrivalDeviations * std::sqrt(expected_arrivals) + kExtraArrivals;
 }
 
 // Removes the requests whose deadlines have passed. They need no record, because any later response or
--- a/src/lab/stubs/stub_counter.cpp
+++ b/src/lab/stubs/stub_counter.cpp
@@ -23,7 +23,7 @@
 constexpr char kPong[] = "+PONG\r\n";
 constexpr char kCommandError[] = "-ERR no such call\r\n";
 
-// Returns nothing unless the whole text is a finite number.
+// Returns std::nullopt unless the complete text is a finite number.
 std::optional<double> parse_number(std::string_view text) {
   double value = 0;
   const char* last = text.data() + text.size();
