--- a/src/net/http_response_parser.cpp
+++ b/src/net/http_response_parser.cpp
@@ -46,7 +46,7 @@
 }
 
 // Proceeds to the next stage if the body or the current chunk is complete.
-void HttpResponseParser::end_body_if_read() {
+void HttpResponseParser::end_body_if_complete() {
   if (stage_ == Stage::body_until_close || remaining_bytes_ > 0) return;
   stage_ = stage_ == Stage::chunk_data ? Stage::chunk_end : Stage::complete;
 }
--- a/src/net/http_response_parser.hpp
+++ b/src/net/http_response_parser.hpp
@@ -32,7 +32,7 @@
         const std::string_view piece = take_body(rest);
         consumed += piece.size();
         on_body(piece);
-        end_body_if_read();
+        end_body_if_complete();
       } else {
         const std::size_t line_bytes = consume_line(rest);
         if (line_bytes == 0) break;
@@ -51,7 +51,7 @@
   bool has_ended() const { return stage_ == Stage::complete || stage_ == Stage::malformed; }
   bool is_in_body() const;
   std::string_view take_body(std::string_view bytes);
-  void end_body_if_read();
+  void end_body_if_complete();
   std::size_t consume_line(std::string_view bytes);
   void on_line(std::string_view line);
   void on_head_line(std::string_view line);
--- a/test/net/client_connection_test.cpp
+++ b/test/net/client_connection_test.cpp
@@ -135,20 +135,20 @@
   // While a connection has this many pending requests, the gateway does not read from it. It resumes reading
   // when fewer than half of them are pending.
   constexpr std::size_t kMaxPipelinedCommands = 1024;
-  FrontendFixture front;
+  FrontendFixture fixture;
   std::vector<Exchange*> exchanges;
-  front.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
-  TestConnection client = front.connect();
+  fixture.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
+  TestConnection client = fixture.connect();
   std::string requests;
   for (std::size_t i = 0; i <= kMaxPipelinedCommands; ++i) requests += lookup_request(std::to_string(i));
   client.send(requests);
-  REQUIRE(front.run_until_requests(kMaxPipelinedCommands));
-  front.run_for(600ms);
-  REQUIRE(front.request_count == kMaxPipelinedCommands);
+  REQUIRE(fixture.run_until_requests(kMaxPipelinedCommands));
+  fixture.run_for(600ms);
+  REQUIRE(fixture.request_count == kMaxPipelinedCommands);
   for (std::size_t i = 0; i < 600; ++i) exchanges[i]->reject(0ms);
-  REQUIRE(front.run_until_requests(kMaxPipelinedCommands + 1));
-  REQUIRE(front.received_time_left.front() > 900ms);
-  REQUIRE(front.received_time_left.back() <= 900ms);
+  REQUIRE(fixture.run_until_requests(kMaxPipelinedCommands + 1));
+  REQUIRE(fixture.received_time_left.front() > 900ms);
+  REQUIRE(fixture.received_time_left.back() <= 900ms);
 }
 
 }  // namespace
--- a/test/net/client_disconnect_test.cpp
+++ b/test/net/client_disconnect_test.cpp
@@ -22,19 +22,19 @@
 }
 
 TEST_CASE("a listener may respond to one request of a disconnected client while it is notified of another") {
-  FrontendFixture front;
+  FrontendFixture fixture;
   std::vector<Exchange*> exchanges;
-  front.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
-  front.disconnect_hook = [&](Exchange& exchange) { exchanges[exchange.id == 1 ? 1 : 0]->fail(); };
-  TestConnection client = front.connect();
+  fixture.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
+  fixture.disconnect_hook = [&](Exchange& exchange) { exchanges[exchange.id == 1 ? 1 : 0]->fail(); };
+  TestConnection client = fixture.connect();
   client.send(lookup_request("1") + lookup_request("2") + lookup_request("3"));
-  REQUIRE(front.run_until_requests(3));
+  REQUIRE(fixture.run_until_requests(3));
   client.close();
-  REQUIRE(front.run_until([&] { return front.disconnect_count == 2; }));
-  TestConnection reconnected = front.connect();
+  REQUIRE(fixture.run_until([&] { return fixture.disconnect_count == 2; }));
+  TestConnection reconnected = fixture.connect();
   reconnected.send(lookup_request("1") + lookup_request("2"));
-  REQUIRE(front.run_until_requests(5));
-  REQUIRE(front.disconnect_count == 2);
+  REQUIRE(fixture.run_until_requests(5));
+  REQUIRE(fixture.disconnect_count == 2);
 }
 
 TEST_CASE("all requests of a client are cancelled when it disconnects while the gateway has paused reading") {
--- a/test/net/client_half_close_test.cpp
+++ b/test/net/client_half_close_test.cpp
@@ -17,9 +17,9 @@
   while (Clock::now() < wait_deadline && !readable(client.fd(), 5ms)) last_open = Clock::now();
   REQUIRE(client.reaches_end());
   client.send(lookup_request("late"));
-  const bool broken = client.is_broken();
+  const bool was_reset = client.peer_has_reset();
   if (Clock::now() - last_open > linger_time) return false;
-  REQUIRE_FALSE(broken);
+  REQUIRE_FALSE(was_reset);
   REQUIRE(deployment.no_attempt_for(30ms));
   return true;
 }
--- a/test/net/drain_deadline_test.cpp
+++ b/test/net/drain_deadline_test.cpp
@@ -11,20 +11,20 @@
 namespace {
 
 TEST_CASE("a request that arrives with the response to the last request of a drain is answered") {
-  FrontendFixture front;
-  TestConnection client = front.connect();
+  FrontendFixture fixture;
+  TestConnection client = fixture.connect();
   client.send(kPing);
-  REQUIRE(front.run_until([&] { return readable(client.fd(), 0ms); }));
+  REQUIRE(fixture.run_until([&] { return readable(client.fd(), 0ms); }));
   REQUIRE(client.receives(kPong));
-  front.request_hook = [&](Exchange& exchange) {
+  fixture.request_hook = [&](Exchange& exchange) {
     // When the first request is answered, the second one has arrived but has not been read.
-    if (front.request_count == 1) client.send(lookup_request("2"));
+    if (fixture.request_count == 1) client.send(lookup_request("2"));
     exchange.reject(0ms);
   };
-  front.frontend.drain([] {});
+  fixture.frontend.drain([] {});
   client.send(lookup_request("1"));
-  REQUIRE(front.run_until_requests(2));
-  front.run_for(20ms);
+  REQUIRE(fixture.run_until_requests(2));
+  fixture.run_for(20ms);
   REQUIRE(client.receives("-BUSY\r\n-BUSY\r\n"));
   REQUIRE(client.reaches_end());
 }
@@ -54,56 +54,56 @@
 }
 
 TEST_CASE("a drain shortens deadlines so that responses are due 0.3 s before the kill") {
-  FrontendFixture front(25, 7500);  // the kill comes at least 3.7 s after SIGTERM
-  TestConnection client = front.connect();
+  FrontendFixture fixture(25, 7500);  // the kill comes at least 3.7 s after SIGTERM
+  TestConnection client = fixture.connect();
   client.send(lookup_with_timeout("1", 7500));
-  REQUIRE(front.run_until_requests(1));
-  REQUIRE(front.received_time_left.back() > 5s);
-  front.frontend.drain([] {});
-  REQUIRE(front.shortened_deadline_count == 1);
-  REQUIRE(front.shortened_time_left <= 3400ms);
-  front.run_for(800ms);
+  REQUIRE(fixture.run_until_requests(1));
+  REQUIRE(fixture.received_time_left.back() > 5s);
+  fixture.frontend.drain([] {});
+  REQUIRE(fixture.shortened_deadline_count == 1);
+  REQUIRE(fixture.shortened_time_left <= 3400ms);
+  fixture.run_for(800ms);
   client.send(lookup_with_timeout("2", 7500));
-  REQUIRE(front.run_until_requests(2));
-  REQUIRE(front.received_time_left.back() <= 2600ms);
+  REQUIRE(fixture.run_until_requests(2));
+  REQUIRE(fixture.received_time_left.back() <= 2600ms);
 }
 
 TEST_CASE("shorter client timeouts lead to an earlier kill and to earlier deadlines in a drain") {
-  FrontendFixture front(25, 400);  // the kill comes at least 1.1 s after SIGTERM
-  TestConnection client = front.connect();
+  FrontendFixture fixture(25, 400);  // the kill comes at least 1.1 s after SIGTERM
+  TestConnection client = fixture.connect();
   client.send(lookup_request("1"));
-  REQUIRE(front.run_until_requests(1));
-  front.frontend.drain([] {});
-  front.run_for(700ms);
+  REQUIRE(fixture.run_until_requests(1));
+  fixture.frontend.drain([] {});
+  fixture.run_for(700ms);
   client.send(lookup_request("2"));  // the request in flight keeps the connection open
-  REQUIRE(front.run_until_requests(2));
-  REQUIRE(front.received_time_left.back() <= 100ms);
+  REQUIRE(fixture.run_until_requests(2));
+  REQUIRE(fixture.received_time_left.back() <= 100ms);
 }
 
 TEST_CASE("a drain waits longer for a client that reads slowly, so that it receives every response") {
-  FrontendFixture front(25, 1000);
+  FrontendFixture fixture(25, 1000);
   constexpr std::size_t kRequests = 12;  // their responses exceed the system's socket buffers
   const std::string response = bulk_string(std::string(1 << 20, 'v'));
-  front.request_hook = [&](Exchange& exchange) { exchange.respond_with_value(response); };
-  TestConnection slow = front.connect();
+  fixture.request_hook = [&](Exchange& exchange) { exchange.respond_with_value(response); };
+  TestConnection slow = fixture.connect();
   std::string requests;
   for (std::size_t i = 0; i < kRequests; ++i) requests += lookup_request(std::to_string(i));
   slow.send(requests);
-  REQUIRE(front.run_until_requests(kRequests));
+  REQUIRE(fixture.run_until_requests(kRequests));
   bool drained = false;
-  front.frontend.drain([&] {
+  fixture.frontend.drain([&] {
     drained = true;
-    front.loop.stop();
+    fixture.loop.stop();
   });
   // Longer than the 1.45 s for which a drain waits for clients that have received all responses.
-  front.run_for(2s);
+  fixture.run_for(2s);
   REQUIRE_FALSE(drained);
   std::size_t received = 0;
   std::thread reader([&] {
     while (received < kRequests && slow.receives(response)) ++received;
     slow.close();
   });
-  front.run_for(30s);  // the end of the drain stops the loop earlier
+  fixture.run_for(30s);  // the end of the drain stops the loop earlier
   reader.join();
   REQUIRE(received == kRequests);
   REQUIRE(drained);
--- a/test/net/support/test_connection.cpp
+++ b/test/net/support/test_connection.cpp
@@ -75,7 +75,7 @@
   return ended_;
 }
 
-bool TestConnection::is_broken() const {
+bool TestConnection::peer_has_reset() const {
   pollfd event{fd_.get(), 0, 0};
   return poll(&event, 1, 0) == 1 && (event.revents & (POLLERR | POLLHUP));
 }
--- a/test/net/support/test_connection.hpp
+++ b/test/net/support/test_connection.hpp
@@ -49,9 +49,9 @@
   bool reaches_end();
   /// Whether the connection ended with a reset. Valid after the end has been read.
   bool was_reset() const { return reset_; }
-  /// Whether the peer has reset the connection. Closing a socket with unread bytes causes a reset, a
-  /// half-close does not. Reads no bytes.
-  bool is_broken() const;
+  /// Whether the peer has reset the connection. Does not read, unlike reaches_end(). A reset occurs when the
+  /// peer closes a socket that has unread bytes, but not when it half-closes.
+  bool peer_has_reset() const;
 
   const FileDescriptor& fd() const { return fd_; }
 
