--- a/src/adapter/gateway_instance.cpp
+++ b/src/adapter/gateway_instance.cpp
@@ -175,7 +175,7 @@
   update.cell = fields.number_or<std::int64_t>("bay", 0);
   update.zone = fields.text("area");
   update.status = read_status(fields);
-  update.capacity_share = fields.number_or<double>("share", 1);
+  update.relative_capacity = fields.number_or<double>("share", 1);
   fields.expect_end();
   balancer_.on_endpoint(now, update);
   if (--endpoints_left_ == 0) balancer_.on_endpoint_list_end(now);
--- a/src/policy/attempt_observer.cpp
+++ b/src/policy/attempt_observer.cpp
@@ -11,16 +11,16 @@
 // the work of single requests varies more than the speed of workers.
 constexpr double kRelativeLatencySmoothing = 0.05;
 constexpr double kMeanLatencySmoothing = 0.2;
-// A sample of the relative latency is limited to this value.
+// The maximum of a sample of the relative latency.
 constexpr double kMaxRelativeLatency = 10;
-// A response indicates an overload of the fleet above this ratio of latency to objective, which is twice the
-// ratio without load. With a higher threshold congestion persisted; with a lower one a fleet with little load
-// shed requests.
+// A response whose ratio of latency to objective is above this value indicates an overload of the fleet. The
+// value is twice the ratio without load. With a higher value, congestion persisted; with a lower one, a fleet
+// with little load shed requests.
 constexpr double kOverloadLatencyRatio = 0.3;
 
-// Times are in seconds. `expected_latency` is the route's latency for a request of mean size.
-void update_latency(Worker& worker, double elapsed, double relative_size, double expected_latency) {
-  const double relative_latency = std::min(elapsed / relative_size / expected_latency, kMaxRelativeLatency);
+// Latencies are in seconds. `route_mean_latency` is the mean latency of the route for a request of mean size.
+void update_latency(Worker& worker, double elapsed, double relative_size, double route_mean_latency) {
+  const double relative_latency = std::min(elapsed / relative_size / route_mean_latency, kMaxRelativeLatency);
   worker.relative_latency += kRelativeLatencySmoothing * (relative_latency - worker.relative_latency);
   worker.mean_latency += kMeanLatencySmoothing * (elapsed - worker.mean_latency);
 }
@@ -32,14 +32,14 @@
   worker.last_attempt_ended_at = now;
   if (outcome >= Outcome::cancelled || now - elapsed < resumed_at_) return;
   RouteStatistics& route = routes_[request.route];
-  // A request of more units is assumed to take proportionally longer, so the longer latency of its response
-  // does not count as slow.
+  // The latency is divided by the size of the request, because a request of more units is assumed to take
+  // proportionally longer.
   const double relative_size = route.relative_size(request.units);
   const double elapsed_seconds = to_seconds(elapsed);
-  const double expected_latency =
+  const double route_mean_latency =
       route.mean_latency() > 0 ? route.mean_latency() : elapsed_seconds / relative_size;
   if (outcome == Outcome::success || outcome == Outcome::timed_out) {
-    update_latency(worker, elapsed_seconds, relative_size, expected_latency);
+    update_latency(worker, elapsed_seconds, relative_size, route_mean_latency);
   }
   if (outcome == Outcome::success) {
     record_response(worker, route, request, elapsed, now);
--- a/src/policy/attempt_observer.hpp
+++ b/src/policy/attempt_observer.hpp
@@ -1,4 +1,5 @@
-// Updates the statistics and limits of workers, routes and the whole fleet with the outcome of each attempt.
+// Updates the statistics and limits of workers, of routes and of the fleet (all workers together) with the
+// outcome of each attempt.
 #pragma once
 #include <vector>
 
@@ -17,8 +18,8 @@
                   std::vector<RouteStatistics>& routes)
       : settings_(settings), limiter_(limiter), overload_(overload), routes_(routes) {}
 
-  // Records that an attempt of the request at the worker ended, or was abandoned, `elapsed` after it was
-  // sent.
+  // Records that an attempt of the request at the worker ended, or that the gateway stopped waiting for it,
+  // `elapsed` after it was sent.
   void record(Worker& worker, const Request& request, Outcome outcome, Duration elapsed, Duration now);
 
   // Records that this gateway's process was suspended until now. Attempts sent before now are ignored,
@@ -34,7 +35,7 @@
   ConcurrencyLimiter& limiter_;
   OverloadController& overload_;
   std::vector<RouteStatistics>& routes_;
-  Duration resumed_at_{0};
+  Duration resumed_at_{0};  // when the process last resumed after a suspension
 };
 
 }  // namespace ironquay
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -7,13 +7,15 @@
 namespace ironquay {
 namespace {
 
-// Responses above this ratio of latency to objective are slow. One response in a hundred takes about five
-// times the mean latency because of its own work, so a mean latency above a fifth of the objective causes
-// late responses.
+// A response whose ratio of latency to objective is above this value is slow. Even without congestion, one
+// response in a hundred takes about five times the mean latency, because its request needs more work. A mean
+// latency above a fifth of the objective therefore causes late responses.
 constexpr double kSlowLatencyRatio = 0.22;
-// On a route whose unloaded latency is high, a response is slow only above this multiple of that latency.
+// On a route with a high unloaded latency, a response is slow only if its latency is above this multiple of
+// the unloaded latency.
 constexpr double kSlowUnloadedFactor = 1.75;
-// Responses below this ratio of latency to objective, or below the unloaded latency, are fast.
+// A response is fast if its ratio of latency to objective is below this value, or if its latency is below the
+// unloaded latency.
 constexpr double kFastLatencyRatio = 0.12;
 // Factors by which the limit shrinks on a slow response, on a time-out or rejection, and on another failure.
 constexpr double kSlowResponseDecrease = 0.8;
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -1,10 +1,10 @@
-// Adapts the concurrency limit of each worker: the number of attempts that this gateway may have in flight at
-// it.
+// Adapts the concurrency limit of each worker, which is the number of attempts that this gateway may have in
+// flight at the worker.
 //
 // The limit grows while responses are fast and the gateway uses the limit fully. It shrinks on slow responses
 // and failures, but at most once per response time, because all attempts in flight wait in the same queue at
-// the worker. A limit below one is the share of time in which the worker may have an attempt in flight: after
-// each attempt the gateway pauses before it sends the worker the next one.
+// the worker. A limit below one is the share of time in which the worker may have an attempt in flight: the
+// gateway waits after each attempt before it sends the next one to the worker.
 #pragma once
 #include "policy/types.hpp"
 #include "policy/worker.hpp"
--- a/src/policy/counter_health.cpp
+++ b/src/policy/counter_health.cpp
@@ -8,32 +8,32 @@
 using namespace std::chrono_literals;
 
 // Bounds of the back-off time, which doubles with each failure.
-constexpr Duration kMinimumBackoff = 250ms, kMaximumBackoff = 4s;
-// The call share grows by this amount with each answer in time, and is multiplied by a factor after a slow
-// answer or a failure, but not below its minimum.
+constexpr Duration kMinBackoff = 250ms, kMaxBackoff = 4s;
+// The call share increases by this amount with each reply in time.
 constexpr double kCallShareIncrease = 0.02;
-constexpr double kSlowFactor = 0.9, kFailureFactor = 0.7;
-constexpr double kMinimumCallShare = 1.0 / 64;
+// A slow reply or a failure multiplies the call share by one of these factors. The result is limited to the
+// minimum.
+constexpr double kSlowReplyFactor = 0.9, kFailureFactor = 0.7;
+constexpr double kMinCallShare = 1.0 / 64;
 
 }  // namespace
 
 void CounterHealth::record(Outcome outcome, Duration sent_at, Duration now) {
-  // A lost connection or an unreadable response says nothing about the counter itself.
+  // A lost connection or an unreadable reply does not show whether the counter is healthy.
   const bool inconclusive = outcome == Outcome::connection_lost;
-  const bool answered = outcome == Outcome::success || inconclusive;
-  // A failed call that was sent before the previous result came in does not count: when the counter falls
-  // silent, all calls in flight time out, and together they are one failure.
+  const bool replied = outcome == Outcome::success || inconclusive;
+  // A failed call that was sent before the previous result arrived does not count as another failure: when
+  // the counter stops replying, all calls in flight time out, and together they count as one failure.
   const Duration previous_result_at = unavailable_until_ - backoff_;
-  const bool affects_health = !inconclusive && (answered || sent_at >= previous_result_at);
-  if (affects_health)
-    backoff_ = answered ? 0s : std::clamp<Duration>(2 * backoff_, kMinimumBackoff, kMaximumBackoff);
+  const bool affects_health = !inconclusive && (replied || sent_at >= previous_result_at);
+  if (affects_health) backoff_ = replied ? 0s : std::clamp<Duration>(2 * backoff_, kMinBackoff, kMaxBackoff);
   unavailable_until_ = now + backoff_;
 
-  // A slow answer means that calls wait at the counter for about half of the time-out.
+  // A reply is slow if its call took more than half of the time-out.
   const bool slow = now - sent_at > timeout_ / 2;
-  if (answered && !slow) call_share_ = std::min(1.0, call_share_ + kCallShareIncrease);
-  if (affects_health && (slow || !answered)) {
-    call_share_ = std::max(kMinimumCallShare, call_share_ * (answered ? kSlowFactor : kFailureFactor));
+  if (replied && !slow) call_share_ = std::min(1.0, call_share_ + kCallShareIncrease);
+  if (affects_health && (slow || !replied)) {
+    call_share_ = std::max(kMinCallShare, call_share_ * (replied ? kSlowReplyFactor : kFailureFactor));
   }
 }
 
--- a/src/policy/counter_health.hpp
+++ b/src/policy/counter_health.hpp
@@ -1,7 +1,8 @@
-// The health of the counter service, which limits how often this gateway calls it.
+// Tracks the health of the counter service ("the counter") and limits how often this gateway calls it.
 //
-// While the counter is silent, unreachable or rejects calls, no calls are made for a back-off time that
-// doubles with each failure. While it answers slowly, only a share of the requests that need it call it.
+// After a call that times out, cannot connect or is rejected, the gateway makes no calls for a back-off time,
+// which doubles with each failure. After slow replies and failures, only a share of the requests that need
+// the counter call it.
 #pragma once
 #include "policy/types.hpp"
 
@@ -9,7 +10,7 @@
 
 class CounterHealth {
  public:
-  // `timeout`: time after which an unanswered call counts as failed.
+  // `timeout`: time after which a call without a reply counts as failed.
   explicit CounterHealth(Duration timeout) : timeout_(timeout) {}
 
   // Records the result of a call that was sent at `sent_at` and ended at `now`.
@@ -17,11 +18,13 @@
 
   // Whether calls may be made at `now`.
   bool available(Duration now) const { return now >= unavailable_until_; }
-  // Of the requests that need the counter, the share that may call it, from 1/64 to 1.
+  // The share of requests that may call the counter, among the requests that need it; from 1/64 to 1.
   double call_share() const { return call_share_; }
-  void set_call_share(double share) { call_share_ = share; }
-  // The time without calls after the last failure; zero while the counter answers.
+  // Replaces the current share.
+  void set_call_share_for_testing(double share) { call_share_ = share; }
+  // The time for which no calls are made after the last failure; zero if the last call succeeded.
   Duration backoff() const { return backoff_; }
+  // The time from which calls may be made again after the last failure.
   Duration unavailable_until() const { return unavailable_until_; }
 
  private:
--- a/src/policy/effects.hpp
+++ b/src/policy/effects.hpp
@@ -14,7 +14,7 @@
 
   // Sends the next attempt of a request to the worker. The attempt times out after `timeout`.
   virtual void send_attempt(RequestId request, WorkerId worker, Duration timeout) = 0;
-  // `attempt`: index among the request's attempts.
+  // Cancels an attempt in flight. `attempt`: index among the request's attempts.
   virtual void cancel_attempt(RequestId request, std::size_t attempt) = 0;
   // Answers the client with a rejection, which promises that sending the request again is safe. `retry_after`
   // is the time after which the client is advised to retry; zero gives no advice.
@@ -24,18 +24,20 @@
   virtual void fail(RequestId request) = 0;
   // Requests a call of LoadBalancer::on_timer() at time `when`. This replaces the previous timer.
   virtual void set_timer(Duration when) = 0;
+  // Sends the worker a health check. LoadBalancer::on_health_check_end() reports its result.
   virtual void check_health(WorkerId worker) = 0;
+  // Closes the gateway's idle connections to the worker.
   virtual void close_idle_connections(WorkerId worker) = 0;
   // Sends a gossip message to the gateway with index `peer`.
   virtual void send_gossip(int peer, std::string_view bytes) = 0;
   // Sends a gossip message to all other gateways.
   virtual void broadcast_gossip(std::string_view bytes) = 0;
-  // Starts (`on`) or ends the delivery of endpoint lists by discovery.
+  // Starts the delivery of endpoint lists by discovery if `on` is true; ends it otherwise.
   virtual void subscribe_endpoints(bool on) = 0;
   // Requests one endpoint list.
   virtual void poll_endpoints() = 0;
-  // Adds `amount` units to a named count on the counter service. LoadBalancer::on_counter_reply() brings the
-  // result. The name expires `lifetime` after its first use.
+  // Adds `amount` units to a named count on the counter service; a negative amount subtracts them.
+  // LoadBalancer::on_counter_reply() reports the result. The name expires `lifetime` after its first use.
   virtual void add_to_counter(std::string_view name, double amount, Duration lifetime) = 0;
   // Writes a line to the gateway's log.
   virtual void log_note(std::string_view text) = 0;
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -15,12 +15,12 @@
   std::string_view customer;
   std::size_t route = 0;  // index into PolicySettings::routes
   std::size_t plan = 0;   // index into PolicySettings::plans
-  double units = 0;       // units of the customer's quota that it uses
+  double units = 0;       // units of the customer's quota that the request uses
   // Index of the first of the customer's gateways. Their indices are consecutive and wrap around to 0.
   int first_gateway = 0;
   int gateway_spread = 1;  // number of the customer's gateways
   Duration time_left{0};   // time until the client times out
-  bool is_retry = false;   // the client has sent this request before
+  bool is_retry = false;   // true if the client has sent this request before
 };
 
 // An attempt has ended.
@@ -30,8 +30,8 @@
   WorkerId worker = 0;
   Outcome outcome = Outcome::success;
   Duration elapsed{0};
-  bool request_finished = false;  // the client has its final answer
-  double actual_units = 0;        // units that the request used; 0: not reported
+  bool request_finished = false;  // true if the client has got the final answer
+  double actual_units = 0;        // units that the request used as reported by the worker; 0: not reported
 };
 
 // One entry of an endpoint list.
@@ -40,11 +40,11 @@
   WorkerStatus status = WorkerStatus::ready;
   std::string_view zone;
   std::int64_t cell = 0;
-  double capacity_share = 1;  // capacity relative to that of a normal worker
-  Duration started_at{0};     // 0: long ago, so that the worker is warm
+  double relative_capacity = 1;  // full capacity divided by that of a standard worker
+  Duration started_at{0};        // when the worker started; 0: long ago, so it is warm
 };
 
-// The counter service has answered a call, or the call has failed. Replies for one name arrive in the order
+// The counter service has replied to a call, or the call has failed. Replies for one name arrive in the order
 // of the calls.
 struct CounterReply {
   std::string_view name;
--- a/src/policy/exhausted_pools.cpp
+++ b/src/policy/exhausted_pools.cpp
@@ -9,11 +9,11 @@
 
 using namespace std::chrono_literals;
 
-// How long a pool counts as exhausted. This is longer than most bursts of requests, so that the other
-// gateways rarely need another notification.
+// The time after which a record expires. It is longer than most bursts of requests, so that a gateway rarely
+// needs to announce the same exhausted pool again.
 constexpr Duration kExhaustedDuration = 8s;
-// With fewer records than this, expired ones are not removed.
-constexpr std::size_t kMinimumCleanupSize = 64;
+// Expired records are not removed while there are fewer records than this number.
+constexpr std::size_t kMinCleanupSize = 64;
 
 }  // namespace
 
@@ -35,11 +35,11 @@
   return static_cast<Key>(fnv1a_64(customer));
 }
 
-// Removes the expired records once there are twice as many records as the last removal left, plus
-// kMinimumCleanupSize. The cost of a removal is thereby spread over many insertions.
+// Removes the expired records when the number of records has reached twice the number after the last removal,
+// plus kMinCleanupSize. The cost of a removal is thus distributed over many insertions.
 void ExhaustedPools::insert_key(Key key, Duration now) {
   expirations_[key] = now + kExhaustedDuration;
-  if (expirations_.size() < 2 * size_after_cleanup_ + kMinimumCleanupSize) return;
+  if (expirations_.size() < 2 * size_after_cleanup_ + kMinCleanupSize) return;
   std::erase_if(expirations_, [now](const auto& entry) { return entry.second <= now; });
   size_after_cleanup_ = expirations_.size();
 }
--- a/src/policy/exhausted_pools.hpp
+++ b/src/policy/exhausted_pools.hpp
@@ -1,5 +1,5 @@
-// The customers whose shared pool of quota is known to be exhausted, either from this gateway's own calls to
-// the counter or from gossip.
+// Records the customers whose shared pool of quota is exhausted. The gateway learns this from its own calls
+// to the counter and from the gossip of other gateways.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,10 +12,11 @@
 
 class ExhaustedPools {
  public:
-  // Whether the customer's pool is known to be exhausted at `now`.
+  // Whether there is an unexpired record that the customer's pool is exhausted.
   bool contains(std::string_view customer, Duration now) const;
   // Records that the customer's pool is exhausted. The record expires after 8 s.
   void insert(std::string_view customer, Duration now) { insert_key(key(customer), now); }
+  // Removes the customer's record.
   void erase(std::string_view customer) { expirations_.erase(key(customer)); }
 
   // Returns the gossip message that announces that the customer's pool is exhausted.
@@ -30,7 +31,7 @@
   void insert_key(Key key, Duration now);
 
   std::unordered_map<Key, Duration> expirations_;  // times at which the records expire
-  std::size_t size_after_cleanup_ = 0;             // records left by the last removal of expired ones
+  std::size_t size_after_cleanup_ = 0;             // number of records after expired ones were last removed
 };
 
 }  // namespace ironquay
--- a/src/policy/histogram.hpp
+++ b/src/policy/histogram.hpp
@@ -1,5 +1,5 @@
-// A histogram with few bins whose older samples lose weight: all counts are halved whenever their sum reaches
-// a given number.
+// A histogram in which older samples have less weight: all counts are halved whenever their sum reaches a
+// given number.
 #pragma once
 #include <cstddef>
 #include <utility>
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -10,19 +10,19 @@
 
 using namespace std::chrono_literals;
 
-// If the timer is overdue by more than this, the process was suspended in the meantime.
-constexpr Duration kProcessPauseThreshold = 100ms;
+// If the timer is overdue by more than this, the process is assumed to have been suspended.
+constexpr Duration kSuspensionThreshold = 100ms;
 // After a failed poll the endpoint list is polled again after this time or a quarter of the poll deadline,
 // whichever is shorter, so that the list does not become out of date.
 constexpr Duration kMaxPollRetryDelay = 1s;
 constexpr int kPollRetryDivisor = 4;
 // The queue may hold this many requests more than there are attempts in flight.
 constexpr std::size_t kMinQueueLimit = 4;
-// After this many queued requests for which no worker is found, the rest of the queue is not tried.
+// After no worker was found for this number of queued requests, the remaining ones are not tried.
 constexpr int kMaxUnplacedRequests = 4;
-// From this load() on, requests over quota are not admitted.
+// Requests over quota are admitted only while load() is below this value.
 constexpr double kMaxOverQuotaLoad = 0.5;
-// Above this load(), requests that may have been executed are not retried.
+// Requests that may have been executed are not retried while load() is above this value.
 constexpr double kMaxRetryLoad = 0.9;
 
 }  // namespace
@@ -40,10 +40,10 @@
       {[](Self self) { return self.requests_.earliest_deadline() <= self.now_; },
        &LoadBalancer::answer_overdue_request},
       {[](Self self) { return !self.pending_admissions_.empty(); }, &LoadBalancer::admit_next},
-      {[](Self self) { return self.capacity_changed_ && !self.requests_.queue().empty(); },
+      {[](Self self) { return self.queue_check_needed_ && !self.requests_.queue().empty(); },
        &LoadBalancer::send_queued},
       {[](Self self) { return self.requests_.queue().size() > self.queue_limit(); },
-       &LoadBalancer::shed_excess},
+       &LoadBalancer::shed_last_queued},
       {[](Self self) {
          return !self.endpoint_poll_times_.empty() && *self.endpoint_poll_times_.begin() <= self.now_;
        },
@@ -79,7 +79,7 @@
 
 void LoadBalancer::begin_event(Duration now) {
   now_ = now;
-  if (timer_ < now - kProcessPauseThreshold) observer_.process_resumed(now);
+  if (timer_ < now - kSuspensionThreshold) observer_.process_resumed(now);
 }
 
 // ---- Timer
@@ -115,7 +115,7 @@
 void LoadBalancer::on_endpoint_list_end(Duration now) {
   begin_event(now);
   if (workers_.end_list(now)) {
-    capacity_changed_ = true;
+    queue_check_needed_ = true;
   } else if (settings_.capabilities.polls_endpoints) {
     const Duration retry_delay = settings_.contract.poll_deadline / kPollRetryDivisor;
     endpoint_poll_times_.insert(now + std::min<Duration>(kMaxPollRetryDelay, retry_delay));
@@ -183,9 +183,9 @@
   return request;
 }
 
-// The route's priority weight times its mean units, per second of its mean latency. It is negated because the
-// request with the lowest rank is sent first. The quota plan is left out, so that an overload does not fail
-// the requests of one plan only.
+// The rank is the route's priority weight times its mean units, divided by its mean latency in seconds. It is
+// negated because the request with the lowest rank is sent first. The rank does not depend on the quota plan,
+// so that an overload does not affect the requests of one plan only.
 double LoadBalancer::queue_rank(const Request& request) const {
   const RouteStatistics& route = routes_[request.route];
   return -settings_.routes[request.route].priority_weight * route.mean_units() /
@@ -204,7 +204,7 @@
   if (within_quota) {
     quota_.slices().charge(request);
   } else {
-    request.queue_rank = 0;  // after all requests within their quotas, which have negative ranks
+    request.queue_rank = 0;  // sent after all requests within their quotas, which have negative ranks
   }
   pending_admissions_.push_back(id);
 }
@@ -222,7 +222,7 @@
     return;
   }
   requests_.enqueue(id);
-  capacity_changed_ = true;
+  queue_check_needed_ = true;
 }
 
 bool LoadBalancer::may_queue(const Request& request) {
@@ -235,7 +235,7 @@
 }
 
 void LoadBalancer::send_queued() {
-  capacity_changed_ = false;
+  queue_check_needed_ = false;
   int unplaced = 0;
   const RequestTable::Queue& queue = requests_.queue();
   for (auto next = queue.begin(); next != queue.end() && unplaced < kMaxUnplacedRequests;) {
@@ -283,7 +283,7 @@
   return kMinQueueLimit + static_cast<std::size_t>(workers_.in_flight());
 }
 
-void LoadBalancer::shed_excess() {
+void LoadBalancer::shed_last_queued() {
   reject_or_fail(requests_.queue().rbegin()->second, settings_.capabilities.max_retry_after);
 }
 
@@ -300,7 +300,7 @@
 
 void LoadBalancer::on_attempt_end(Duration now, const AttemptResult& result) {
   begin_event(now);
-  if (workers_.attempt_ended(result.worker)) capacity_changed_ = true;
+  if (workers_.attempt_ended(result.worker)) queue_check_needed_ = true;
   Request* request = requests_.find(result.request);
   if (request == nullptr) {
     apply_rules();
@@ -341,7 +341,7 @@
 }
 
 void LoadBalancer::answer_overdue_request() {
-  reject_or_fail(requests_.earliest_due(), settings_.capabilities.max_retry_after);
+  reject_or_fail(requests_.earliest_due_request(), settings_.capabilities.max_retry_after);
 }
 
 void LoadBalancer::reject_or_fail(RequestId id, Duration retry_after) {
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -54,13 +54,14 @@
   void on_endpoint_list_end(Duration now);
 
   void on_request(Duration now, const IncomingRequest& incoming);
-  // The gateway has forwarded the first bytes of a response, so the request can no longer get another answer.
+  // The gateway has forwarded the first bytes of a response, so it can no longer give the request another
+  // answer.
   void on_response_start(Duration now, RequestId id, std::size_t attempt);
   void on_attempt_end(Duration now, const AttemptResult& result);
   // The client no longer waits for the request's answer.
   void on_client_disconnect(Duration now, RequestId id);
-  // The request must be answered within `time_left` because the gateway may have exited after that. The call
-  // never moves a deadline to a later time.
+  // The request must be answered within `time_left`, because the gateway may exit after that time. A deadline
+  // is never moved to a later time.
   void on_deadline_shortened(Duration now, RequestId id, Duration time_left);
 
   void on_timer(Duration now);
@@ -77,7 +78,7 @@
   bool knows_worker(WorkerId id) const { return workers_.contains(id); }
 
  private:
-  friend class LoadBalancerPeer;  // gives tests access to the modules
+  friend class LoadBalancerTestAccess;  // gives the tests access to the modules
   struct Rule;
 
   // Sets the current time and detects whether the process was suspended before this event.
@@ -87,15 +88,19 @@
   void apply_rules();
   // Answers the request with the earliest deadline, which has passed.
   void answer_overdue_request();
-  // Takes the first pending admission; queues its request, or answers it if it must not be queued.
+  // Removes the first request from pending_admissions_. Queues the request, or answers it if it must not be
+  // queued. Does nothing with a request that has been removed or has an attempt in flight.
   void admit_next();
-  // Tries to send the queued requests in order of their rank, until too many of them find no worker.
+  // Tries to send the queued requests in ascending order of rank. Stops after kMaxUnplacedRequests of them
+  // for which no worker was found.
   void send_queued();
-  // Answers the queued request that would be sent last.
-  void shed_excess();
+  // Answers the queued request that would be sent last, because the queue is too long.
+  void shed_last_queued();
   void poll_endpoints();
   void rebalance_quota();
+  // Sets the timer to next_timer().
   void update_timer();
+  // The earliest time at which a deadline, an endpoint poll or a quota rebalance is due.
   Duration next_timer() const;
 
   // Adds the request to the request table with its deadline and its queue rank.
@@ -107,8 +112,8 @@
   void apply_quota(RequestId id, bool within_quota, Duration retry_after);
   // Whether the request may be queued for an attempt. May draw a random number.
   bool may_queue(const Request& request);
-  // Sends an attempt of the request, or answers it if no attempt may be sent any more. Returns false if no
-  // worker was found; the request stays queued then.
+  // Sends an attempt of the queued request, or answers the request if no attempt may be sent any more.
+  // Returns false if no worker was found and the request therefore stays queued.
   bool try_send(RequestId id);
   void send_attempt(RequestId id, Request& request, WorkerId worker);
   // Gives the request its final answer without a worker's response: a rejection if the client may safely send
@@ -118,7 +123,7 @@
   void remove_request(RequestId id);
   // The number of requests that may be queued.
   std::size_t queue_limit() const;
-  // Load of all workers as this gateway sees it: 0 is idle, 1 and above is fully loaded.
+  // The load of the fleet as far as this gateway can measure it: 0 is idle, 1 and above is fully loaded.
   double load() const;
 
   PolicySettings settings_;
@@ -127,7 +132,8 @@
   RandomSource random_;
   std::vector<RouteStatistics> routes_;  // one entry per element of PolicySettings::routes
   RequestTable requests_;
-  // Requests that passed the quota check or whose attempt has ended without a final answer.
+  // Requests to be queued or answered by admit_next(): those that passed the quota check, and those whose
+  // attempt ended without a final answer.
   std::deque<RequestId> pending_admissions_;
   WorkerSubset subset_;
   SlowStart slow_start_;
@@ -139,10 +145,10 @@
   TimingPolicy timing_;
   WorkerSelector selector_;
   QuotaAllocator quota_;
-  std::multiset<Duration> endpoint_poll_times_;  // when to poll the endpoint list next
-  // A worker may have become available since send_queued() last ran.
-  bool capacity_changed_ = false;
-  Duration timer_ = Duration::max();  // time last passed to Effects::set_timer(); max: no timer is set
+  std::multiset<Duration> endpoint_poll_times_;  // times of the next polls of the endpoint list
+  // True if a request was queued, or a worker may have become available, since send_queued() last ran.
+  bool queue_check_needed_ = false;
+  Duration timer_ = Duration::max();  // time at which the timer is set to expire; max: no timer is set
 };
 
 }  // namespace ironquay
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,7 +5,7 @@
 
 // The number of consecutive failures, weighted by failure_weight(), after which a worker is ejected.
 constexpr int kFailuresToEject = 3;
-// A failed connection attempt counts as this many failures, so the second one in a row ejects the worker.
+// A failure to connect counts as this many failures, so the second one in a row ejects the worker.
 constexpr int kConnectFailureWeight = 2;
 // The concurrency limit of an ejected worker; see ConcurrencyLimiter for limits below one.
 constexpr double kEjectedLimit = 1.0 / 8;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -1,5 +1,5 @@
-// Ejects workers whose attempts fail repeatedly, whether the worker hangs, is unreachable, has crashed, or
-// returns errors or malformed responses.
+// Ejects workers whose attempts fail repeatedly. This covers workers that hang, are unreachable, have
+// crashed, or return errors or malformed responses.
 #pragma once
 #include "policy/types.hpp"
 #include "policy/worker.hpp"
@@ -12,8 +12,8 @@
   static void record_failure(Worker& worker, Outcome outcome);
   // Whether the worker's consecutive failures have reached the threshold for ejection.
   static bool is_ejected(const Worker& worker);
-  // The concurrency limit to which an ejected worker is reduced. It still receives few attempts, and the
-  // limit grows again when they succeed.
+  // The concurrency limit to which the limit of an ejected worker is reduced. The worker still receives a few
+  // attempts, and its limit grows again when they succeed.
   static double ejected_concurrency_limit();
 };
 
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -6,7 +6,8 @@
 namespace ironquay {
 namespace {
 
-// The recent attempts are the last 16 or so, which one of hundreds of gateways sends in a few seconds.
+// The number of recent attempts in the averages of the shares. One of hundreds of gateways sends that many in
+// a few seconds.
 constexpr double kAttemptWindow = 16;
 // The greatest change of the admitted share by one attempt.
 constexpr double kMaxStep = 0.1;
@@ -27,7 +28,7 @@
   adjust(true, timely_attempt_share_ < 0.5 ? kMaxStep : kMaxStep * slow_response_share_);
 }
 
-// The change is limited so that a low admitted share is at most halved or doubled by one attempt.
+// One attempt at most halves or doubles the admitted share, even if the share is low.
 void OverloadController::adjust(bool slow, double step) {
   admitted_share_ += slow ? -std::min(step, admitted_share_ / 2) : std::min(step, admitted_share_);
   admitted_share_ = std::clamp(admitted_share_, kMinAdmittedShare, 1.0);
--- a/src/policy/overload_controller.hpp
+++ b/src/policy/overload_controller.hpp
@@ -2,10 +2,11 @@
 //
 // Hundreds of gateways with one attempt in flight at each worker can overload the fleet, although no gateway
 // can detect the overload at a single worker. Only the responses of all workers taken together show it. The
-// controller therefore adapts the share of requests that are admitted: responses in time raise it and slow
-// responses lower it. A time-out or rejection lowers it in proportion to the share of slow responses, or by
-// the full step if more than half of the recent attempts failed or were slow. While the other responses are
-// in time, no load is shed if a third of the responses are lost or a fifth of the workers hang.
+// controller therefore adapts the admitted share, which is the share of requests that may be sent to the
+// workers. Responses in time raise the admitted share and slow responses lower it. A time-out or rejection
+// lowers it in proportion to the share of slow responses, or by the full step if more than half of the recent
+// attempts failed or were slow. As a result, no load is shed if a third of the responses are lost or a fifth
+// of the workers hang, as long as the other responses are in time.
 #pragma once
 #include "policy/random.hpp"
 
@@ -25,6 +26,7 @@
   bool admits(double queue_rank, RandomSource& random) const;
   // The share of requests of mean rank that are shed, from 0 to 1.
   double shed_share() const { return 1 - admitted_share_; }
+  // The share of requests of mean rank that are admitted, from 1/64 to 1.
   double admitted_share() const { return admitted_share_; }
 
  private:
--- a/src/policy/quota_allocator.cpp
+++ b/src/policy/quota_allocator.cpp
@@ -7,7 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// Short enough for several rebalances before a customer's demand changes.
+// The time between two rebalances of a slice. It is short enough for several rebalances before a customer's
+// demand changes.
 constexpr Duration kRebalanceInterval = 2s;
 
 }  // namespace
@@ -29,8 +30,8 @@
   slices_.record_request(slice, request.units, is_retry);
   pool_.record_request(request.units);
   const bool needs_pool = slices_.effective_pooled_share(slice, now) > 0 && slice.tokens < request.units;
-  // Any positive balance admits one request, even if the slice's tokens become negative: a slice of a small
-  // burst may hold less than one large request.
+  // A slice with any tokens admits one request, even if its tokens become negative: a slice with a small part
+  // of the burst may never hold the units of a large request.
   if (!needs_pool) {
     return slices_.is_unlimited(request) || slice.tokens > 0 ? QuotaVerdict::within_quota
                                                              : QuotaVerdict::over_quota;
@@ -38,8 +39,8 @@
   if (is_retry) return QuotaVerdict::over_quota;
   if (pool_.should_call_counter(request)) return QuotaVerdict::take_from_pool;
   if (!pool_.may_admit_uncounted(request, slice, now)) return QuotaVerdict::over_quota;
-  // The requests that call the counter also take this request's units. The tokens added here are charged to
-  // the slice again on admission.
+  // The takes for other requests also cover the units of this request (see QuotaPool::take_for_request()), so
+  // it must not reduce the slice's tokens. The tokens added here are subtracted again on admission.
   slice.uncounted_units += request.units;
   slice.tokens += request.units;
   return QuotaVerdict::within_quota;
--- a/src/policy/quota_allocator.hpp
+++ b/src/policy/quota_allocator.hpp
@@ -2,9 +2,9 @@
 // Shaikh, "Performance Isolation and Fairness for Multi-Tenant Cloud Storage", section 3.2); docs/design.md
 // lists the differences.
 //
-// Each gateway admits a customer's requests from a local slice of the quota (QuotaSlices). It moves surplus
-// units to a pool on the counter service (QuotaPool). A request that its slice does not cover takes its units
-// from the pool.
+// Each gateway admits a customer's requests from a local slice of the quota (QuotaSlices). The gateway moves
+// surplus units of the slice to the customer's pool on the counter service (QuotaPool). If the slice does not
+// hold the units of a request, the gateway takes them from the pool.
 #pragma once
 #include <map>
 #include <optional>
@@ -25,7 +25,7 @@
 enum class QuotaVerdict {
   within_quota,
   over_quota,
-  take_from_pool,  // undecided until units are taken from the pool on the counter
+  take_from_pool,  // undecided until the counter has replied to a take from the pool
 };
 
 class QuotaAllocator {
@@ -33,8 +33,8 @@
   // All arguments must outlive the allocator.
   QuotaAllocator(const PolicySettings& settings, RandomSource& random, Effects& effects);
 
-  // Returns the customer's slice. A new one starts with its full part of the burst and is scheduled for
-  // rebalancing. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's
+  // Returns the customer's slice. A new slice starts with its full part of the burst, and its first rebalance
+  // is scheduled. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's
   // gateways.
   QuotaSlice& slice(const std::string& customer, std::size_t plan, int gateway_spread, Duration now);
   QuotaSlices& slices() { return slices_; }
@@ -47,12 +47,13 @@
 
   // The time of the next rebalance; Duration::max() if there are no slices.
   Duration next_rebalance() const;
-  // Moves the surplus of the slice whose rebalance is due next to its pool, or erases the slice if its
-  // customer has sent no request for a pool period. There must be a scheduled rebalance.
+  // Performs the earliest scheduled rebalance: contributes the surplus of the slice to the customer's pool,
+  // or erases the slice if the customer has sent no request for QuotaPool::kPeriod. At least one rebalance
+  // must be scheduled.
   void rebalance_next(Duration now);
 
  private:
-  friend class QuotaAllocatorPeer;
+  friend class QuotaAllocatorTestAccess;
 
   CounterHealth counter_;
   QuotaSlices slices_;
--- a/src/policy/quota_pool.hpp
+++ b/src/policy/quota_pool.hpp
@@ -1,8 +1,9 @@
-// The shared pools of quota, one per customer, each kept as one named count on the counter service.
+// The shared pools of quota. Each customer has one pool, which is stored as one named count on the counter
+// service.
 //
 // A pool's count is the number of units that gateways have taken from it since its period began, minus the
-// units that they have contributed. No process refills a pool: each gateway computes its remaining units from
-// the quota's rate and burst, the time since the period began and the count.
+// units that they have contributed. No process refills a pool: each gateway computes the units in the pool
+// from the quota's rate and burst, the time since the period began and the count.
 #pragma once
 #include <deque>
 #include <optional>
@@ -36,13 +37,13 @@
   take_for_request,    // moves units from the pool to a slice; a request waits for the reply
 };
 
-// A call to the counter that has not been answered.
+// A call to the counter that awaits its reply.
 struct CounterCall {
   CounterPurpose purpose = CounterPurpose::contribute_surplus;
   std::string customer;
-  double units = 0;       // moved out of the slice (contribution) or wanted for it (take)
+  double units = 0;       // units that a contribution removed from the slice, or that a take adds to it
   RequestId request = 0;  // the request that waits for the reply, if the purpose is take_for_request
-  double amount = 0;      // units that the call adds to the count
+  double amount = 0;      // units that the call adds to the count; a take may cover other requests too
   Duration sent_at{0};
 };
 
@@ -56,18 +57,19 @@
 
   // Updates the mean size of requests with an arriving request of `units`.
   void record_request(double units);
-  // Decides at random whether a request that its slice does not cover calls the counter. The probability
-  // depends on how many calls the counter can take at present.
+  // Decides at random whether the counter is called for a request that its slice does not cover. The
+  // probability is lower while CounterHealth::call_share() is below 1.
   bool should_call_counter(const Request& request) { return random_.chance(call_probability(request)); }
-  // Whether a request that its slice does not cover may be admitted without a call to the counter.
+  // Whether a request that its slice does not cover, and for which the counter is not called, may be
+  // admitted.
   bool may_admit_uncounted(const Request& request, const QuotaSlice& slice, Duration now) const;
 
   // Calls the counter to take units for a request. The request waits for on_counter_reply().
   void take_for_request(RequestId id, const Request& request, const QuotaSlice& slice, Duration now);
-  // Whether a call for this counter name has not been answered.
+  // Whether a call for this counter name awaits its reply.
   bool awaits_reply(std::string_view name) const { return pending_calls_.contains(std::string(name)); }
-  // Applies the reply to the oldest pending call for its name. Returns the verdict on the request that the
-  // call was made for; empty if the call was for no request or the request is no longer open.
+  // Applies the reply to the oldest pending call for its name. Returns the verdict on the request for which
+  // the call was made; empty if the call was not made for a request or the request is no longer open.
   std::optional<PoolVerdict> on_counter_reply(const CounterReply& reply, const RequestTable& requests,
                                               Duration now);
   // Handles a peer's message that a customer's pool is exhausted.
@@ -80,15 +82,15 @@
   static constexpr Duration kPeriod = std::chrono::seconds(48);
 
  private:
-  friend class QuotaPoolPeer;
+  friend class QuotaPoolTestAccess;
 
   double call_probability(const Request& request) const;
   void on_take_reply(const CounterCall& call, std::string_view name, std::optional<double> total,
                      double shortfall, Duration now);
-  double remaining_units(const CounterCall& call, const QuotaSlice& slice, std::optional<double> total,
-                         Duration now) const;
+  double units_after_take(const CounterCall& call, const QuotaSlice& slice, std::optional<double> total,
+                          Duration now) const;
   void trim_excess(const CounterCall& call, std::string_view name, std::optional<double> total, double excess,
-                   double burst, Duration now);
+                   double pool_burst, Duration now);
   void mark_exhausted(const std::string& customer, const QuotaSlice& slice, Duration now);
   void announce_exhausted(const std::string& customer, const QuotaSlice& slice, Duration now);
   void call_counter(std::string_view name, CounterCall call, double amount, Duration now);
--- a/src/policy/quota_slice.hpp
+++ b/src/policy/quota_slice.hpp
@@ -1,32 +1,32 @@
 // A gateway's local part of one customer's quota.
 //
-// A slice is a token bucket: units flow in at a fixed rate, up to the slice's part of the burst. Part of
-// every slice, `pooled_share`, does not flow into the slice but into the customer's pool on the counter
-// service, from which all of the customer's gateways take.
+// A slice is a token bucket: units flow in at a fixed rate, up to the slice's part of the burst. The
+// gateway's share of the quota is split in two. The part `pooled_share` flows into the customer's pool on the
+// counter service, from which all of the customer's gateways take units. The rest flows into the slice.
 #pragma once
 #include "policy/settings.hpp"
 
 namespace ironquay {
 
-// The time constant of the demand measurement. A shorter one follows single requests; a longer one still
-// shows demand that has already moved to another gateway.
+// The time constant of the demand measurement. With a shorter one, single requests change the result; with a
+// longer one, the result still includes demand that has already moved to another gateway.
 constexpr Duration kQuotaDemandWindow = std::chrono::seconds(4);
 
 struct QuotaSlice {
   std::size_t plan = 0;      // index into PolicySettings::plans
   int first_gateway = 0;     // index of the first of the customer's gateways, which have consecutive indices
   double gateway_share = 1;  // this gateway's share of the quota: 1 / number of the customer's gateways
-  double rate = 0;           // units per second, including the part that flows into the pool
-  double pooled_share = 0;   // share of the quota that is in the pool, from 0 to 1
-  double tokens = 0;         // units available; may be negative
-  double demand_rate = 0;    // units per second requested within about kQuotaDemandWindow
+  double rate = 0;  // units per second: this gateway's share of the plan's rate, including the pooled part
+  double pooled_share = 0;        // share of the quota that flows into the pool, from 0 to 1
+  double tokens = 0;              // units available; may be negative
+  double demand_rate = 0;         // units per second requested within about kQuotaDemandWindow
   double peak_request_units = 0;  // units of the largest recent request; decays towards the current size
-  double uncounted_units = 0;     // units admitted without a counter call since the last take from the pool
-  Duration next_pool_call{0};     // the pool is known to hold too few units until this time
-  double ceiling_tokens = 0;      // units that may still be forwarded under the plan's hard ceiling
-  int attempts_in_flight = 0;
-  Duration refilled_at{0};
-  Duration last_used_at{0};
+  double uncounted_units = 0;  // units admitted without a call to the counter since the last successful take
+  Duration next_pool_call{0};  // earliest time of the next take; the pool holds too few units until then
+  double ceiling_tokens = 0;   // units that may still be forwarded under the plan's hard ceiling
+  int attempts_in_flight = 0;  // the customer's attempts in flight from this gateway
+  Duration refilled_at{0};     // when QuotaSlices::refill() last ran
+  Duration last_used_at{0};    // when QuotaSlices::find_or_create() last returned the slice
 };
 
 }  // namespace ironquay
--- a/src/policy/quota_slices.cpp
+++ b/src/policy/quota_slices.cpp
@@ -10,14 +10,15 @@
 
 // The longest time after which a rejected client is advised to retry.
 constexpr double kMaxRetryAfterSeconds = 60;
-// Half of the quota is in the pool if a slice's part of the burst equals this many requests of the largest
-// size. With a smaller number less is pooled, and slices reject requests while other slices hold unused
-// units.
+// Half of the quota flows into the pool if a slice's part of the burst equals this many requests of the
+// largest size. A smaller number would pool less, and slices would reject requests while other slices hold
+// unused units.
 constexpr double kHalfPooledRequests = 8;
-// Units per second; keeps the wait for a slice without inflow finite.
-constexpr double kMinimumRate = 1e-3;
-// The weight of a smaller request in a slice's peak request size, so that the peak covers about the last ten
-// requests.
+// The lowest rate that time_to_cover() assumes, in units per second. It makes the result finite for a slice
+// without inflow.
+constexpr double kMinRate = 1e-3;
+// The weight of a request that is smaller than the slice's peak request size in the new peak. With this
+// weight, the peak reflects about the last ten requests.
 constexpr double kPeakRequestDecay = 0.1;
 
 }  // namespace
@@ -76,7 +77,7 @@
 }
 
 Duration QuotaSlices::time_to_cover(const QuotaSlice& slice, double units) {
-  return capped_retry_after((units - slice.tokens) / std::max(slice.rate, kMinimumRate));
+  return capped_retry_after((units - slice.tokens) / std::max(slice.rate, kMinRate));
 }
 
 bool QuotaSlices::permits_attempt(const Request& request, const QuotaSlice& slice) const {
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -34,13 +34,13 @@
 
   // Adds the units that have flowed in since the last call, and decays the measured demand.
   void refill(QuotaSlice& slice, Duration now) const;
-  // The share of the quota that is in the pool now: 0 while the counter is unavailable.
+  // The share of the quota that flows into the pool now: 0 while the counter is unavailable.
   double effective_pooled_share(const QuotaSlice& slice, Duration now) const;
 
-  // Whether the request's plan has no quota.
+  // Whether the request's plan does not limit the rate.
   bool is_unlimited(const Request& request) const { return settings_.plans[request.plan].rate <= 0; }
-  // Estimates the time until `units` are available at the slice's whole rate, including the pooled part. The
-  // result is capped by capped_retry_after().
+  // Estimates the time until the slice holds `units` if it fills at its whole rate, including the pooled
+  // part. The result is at most one minute.
   static Duration time_to_cover(const QuotaSlice& slice, double units);
   // Whether the plan permits the customer another attempt in flight at this gateway.
   bool permits_attempt(const Request& request, const QuotaSlice& slice) const;
@@ -50,14 +50,14 @@
   // Updates the slice's peak request size and demand with an arriving request of `units`. Client retries do
   // not count as demand.
   static void record_request(QuotaSlice& slice, double units, bool is_retry);
-  // Takes the units of an admitted request from its slice.
+  // Subtracts the units of an admitted request from its slice.
   void charge(const Request& request);
   // Returns the request's units to its slice if they were charged and no attempt was sent.
   void refund(const Request& request);
-  // Adjusts the slice if the worker reported other units than the request was charged. `actual_units` of zero
-  // means that the worker reported none.
+  // Adjusts the slice if the worker reported that the request used other units than it was charged.
+  // `actual_units`: the reported units; 0: not reported.
   void correct_units(const Request& request, double actual_units);
-  // Must be called before the attempt is added to the request.
+  // Counts an attempt of the request that starts. Must be called before the attempt is added to the request.
   void attempt_started(const Request& request);
   void attempt_ended(const Request& request);
 
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -14,7 +14,7 @@
   std::int64_t cell = 0;  // the worker's cell when the attempt was sent
   Duration sent_at{0};
   bool in_flight = true;
-  bool may_have_executed = true;
+  bool may_have_executed = true;  // the worker may have executed the request
 };
 
 // A request that has not got its final answer yet.
@@ -22,12 +22,12 @@
   std::size_t route = 0;  // index into PolicySettings::routes
   std::size_t plan = 0;   // index into PolicySettings::plans
   std::string customer;
-  double units = 0;               // units of the customer's quota that it uses
+  double units = 0;               // units of the customer's quota that the request uses
   double queue_rank = 0;          // the queued request with the lowest rank is sent first
   Duration deadline{0};           // time by which the client must get the final answer
-  bool queued = false;            // waits for a worker
-  bool streaming = false;         // the client has received the start of the response
-  bool over_quota = false;        // its units are not charged to the quota, or not yet
+  bool queued = false;            // the request is queued until an attempt can be sent to a worker
+  bool streaming = false;         // the gateway has forwarded the start of a response to the client
+  bool over_quota = false;        // the request's units have not been charged to the quota
   std::vector<Attempt> attempts;  // in the order of sending
 };
 
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,4 +1,4 @@
-// Holds the requests in flight, their deadlines and the queue of requests that wait for a worker.
+// Holds the open requests, their deadlines and the queue of requests that wait for a worker.
 #pragma once
 #include <map>
 #include <set>
@@ -20,14 +20,14 @@
   // Removes the request, its deadline and its place in the queue.
   void erase(RequestId id);
 
-  // Sets or replaces the request's deadline, a point in time.
+  // Sets or replaces the request's deadline.
   void set_deadline(RequestId id, Duration deadline);
   // Cancels the deadline of a request whose response has started; Request::deadline keeps its value.
   void clear_deadline(RequestId id);
   // The earliest deadline of all requests; Duration::max() if none is set.
   Duration earliest_deadline() const;
   // The request with the earliest deadline. At least one deadline must be set.
-  RequestId earliest_due() const { return deadlines_.begin()->second; }
+  RequestId earliest_due_request() const { return deadlines_.begin()->second; }
 
   // Queued requests in ascending order of rank, then id. The first one is sent first.
   using Queue = std::set<std::pair<double, RequestId>>;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-// The time that a repeat may take to reach its worker.
+// The time that a repeat of an attempt may take to reach its worker.
 constexpr Duration kTransitAllowance = 10ms;
 
 const Attempt* first_possibly_executed_attempt(const Request& request) {
@@ -70,7 +70,7 @@
   return false;
 }
 
-// The clocks of the gateway and of the worker may each be off by one tick.
+// The clock of the gateway and the clock of the worker may each be wrong by one tick.
 Duration RetryPolicy::dedup_deadline(const Attempt& attempt, const Route& route) const {
   return attempt.sent_at + route.dedup_window - 2 * settings_.tick - kTransitAllowance;
 }
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -25,8 +25,9 @@
 
   AllowedActions allowed_actions(const Request& request, Duration now) const;
 
-  // Whether an attempt that was started earlier but not written yet may still be written without executing
-  // the request twice. `attempt` is an index into the request's attempts.
+  // Whether an attempt that was decided on earlier, but has not been written to its connection yet, may still
+  // be written without the risk that the request takes effect twice. `attempt` is an index into the request's
+  // attempts.
   bool may_still_send(const Request& request, std::size_t attempt, Duration now) const;
 
   // Whether a worker in this zone and cell discards a repeat of `attempt`.
@@ -34,7 +35,7 @@
                               std::int64_t cell);
 
  private:
-  // A repeat of `attempt` must be sent before this time to arrive while the worker still discards it.
+  // The time before which a repeat of `attempt` must be sent so that the worker discards it.
   Duration dedup_deadline(const Attempt& attempt, const Route& route) const;
 
   const PolicySettings& settings_;
--- a/src/policy/route_statistics.hpp
+++ b/src/policy/route_statistics.hpp
@@ -21,21 +21,22 @@
   double latency_quantile(double quantile) const { return latency_ratios_.quantile(quantile); }
   // Mean latency of a request of mean size, in seconds; 0 before the first response.
   double mean_latency() const { return mean_latency_; }
-  // Estimate of mean_latency() while the workers have no queues, in seconds; 0 before the first response.
+  // Estimate of the mean_latency() that the route has while no requests wait in queues at the workers, in
+  // seconds; 0 before the first response.
   double unloaded_latency() const { return unloaded_latency_; }
   // Mean units of a request; 0 before the first request.
   double mean_units() const { return mean_units_; }
-  // The longest time until the client's time-out that the first attempt of any request had on arrival.
-  Duration max_first_attempt_timeout() const { return max_first_attempt_timeout_; }
-  // Replaces the measured mean; for tests.
-  void set_mean_units(double units) { mean_units_ = units; }
+  // The longest time left until the client's time-out of any request on arrival, client retries excluded.
+  Duration max_initial_time_left() const { return max_initial_time_left_; }
+  // Replaces the measured mean.
+  void set_mean_units_for_testing(double units) { mean_units_ = units; }
 
  private:
   Histogram latency_ratios_;  // latencies divided by the latency objective
   double mean_units_ = 0;
   double mean_latency_ = 0;
   double unloaded_latency_ = 0;
-  Duration max_first_attempt_timeout_{0};
+  Duration max_initial_time_left_{0};
 };
 
 }  // namespace ironquay
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -25,11 +25,12 @@
 struct Route {
   Idempotency idempotency = Idempotency::idempotent;
   DedupScope dedup_scope = DedupScope::all;
-  Duration dedup_window{0};       // how long a worker remembers an idempotency key
-  Duration latency_objective{0};  // counted from the client's first attempt; a later response has less value
-  Duration client_timeout{0};     // time after which the client stops waiting
-  double priority_weight = 0;     // value of a response within the latency objective
-  double late_value_share = 0;    // share of that value that a response after the latency objective has
+  Duration dedup_window{0};  // how long a worker discards repeats with the same idempotency key
+  // A response has its full value if it arrives within this time after the client first sent the request.
+  Duration latency_objective{0};
+  Duration client_timeout{0};   // time after which the client stops waiting
+  double priority_weight = 0;   // value of a response within the latency objective
+  double late_value_share = 0;  // share of that value that a response after the latency objective has
 };
 
 // The quota of each customer on this plan, summed over all gateways.
@@ -45,7 +46,7 @@
 
 // What the platform guarantees about workers and the endpoint list.
 struct ContractSettings {
-  double initial_capacity_share = 1;  // capacity of a newly started worker, as a share of its full capacity
+  double initial_capacity_share = 1;  // share of its full capacity that a worker has when it starts
   Duration slow_start_window{0};      // time from its start until it has its full capacity
   Duration overload_window{0};        // a worker fails if it is overloaded over this length of time
   Duration poll_deadline{0};          // age at which a polled endpoint list is out of date
@@ -53,14 +54,14 @@
 
 // What the platform permits a gateway to do.
 struct Capabilities {
-  bool cancel = false;           // cancel an attempt in flight
-  bool hedging = false;          // send hedged requests: several attempts of one request in flight at a time
-  bool counter = false;          // call the counter service
-  bool retry_after = false;      // advise rejected clients when to retry
+  bool cancel = false;           // the gateway may cancel attempts in flight
+  bool hedging = false;          // the gateway may have several attempts of one request in flight at a time
+  bool counter = false;          // the gateway may call the counter service
+  bool retry_after = false;      // the gateway may advise rejected clients when to retry
   bool polls_endpoints = false;  // true: the endpoint list is polled; false: it is pushed
   int max_attempts = 1;          // attempts per request, including the first
   Duration max_retry_after{0};   // the longest time after which clients may be advised to retry
-  Duration counter_timeout{0};   // time after which an unanswered call to the counter fails
+  Duration counter_timeout{0};   // time after which a call to the counter without a reply fails
   double gossip_rate_limit = 0;  // messages per second that a gateway accepts; 0: gossip is not permitted
 };
 
@@ -74,7 +75,7 @@
   int gateway_count = 1;
   std::string zone;                   // the zone of this gateway
   double max_units = 1;               // the largest number of units that one request may use
-  double cross_zone_cost = 0;         // cost of an attempt at a worker in another zone; 0: free
+  double cross_zone_cost = 0;         // cost of sending an attempt to a worker in another zone; 0: none
   bool reports_actual_units = false;  // responses report the units that a request actually used
   Duration tick{0};                   // granularity of the platform's clock
 };
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -11,11 +11,11 @@
 
 // All gateways together may always send a warming worker this many attempts per second times its capacity
 // share, so that a gateway that has just started and sends little can observe it too.
-constexpr double kMinFleetRate = 4;
-// The rate above is divided among the gateways, but among no fewer than this number.
-constexpr int kMinFleetSize = 8;
-// For this number of overload windows after a worker's start, each gateway sends to it only in its own time
-// slot. Longer use of time slots left new workers idle during a long release.
+constexpr double kMinTotalRate = 4;
+// kMinTotalRate is divided by the number of gateways, but by no less than this number.
+constexpr int kMinGatewayCount = 8;
+// For this number of overload windows after a worker's start, each gateway sends attempts to the worker only
+// in the gateway's own time slot. Longer use of time slots left new workers idle during a long release.
 constexpr int kTimeSlotWindows = 2;
 // An attempt may wait for its connection for up to the overload window divided by this number. Even if all
 // attempts delayed for up to a quarter of the window arrive together, they stay below 1.25 times the worker's
@@ -32,14 +32,15 @@
   return contract.initial_capacity_share + (1 - contract.initial_capacity_share) * std::max(0.0, progress);
 }
 
-void SlowStart::accrue_budget(Worker& worker, bool in_subset, const SlowStartLoad& load, Duration now) const {
+void SlowStart::refill_budget(Worker& worker, bool in_subset, const SlowStartInputs& inputs,
+                              Duration now) const {
   const double capacity = capacity_share(worker, now);
   if (capacity >= 1) return;
-  const auto ready_workers = static_cast<double>(load.ready_workers);
-  const double warm_fraction = static_cast<double>(load.warm_workers) / std::max(1.0, ready_workers);
-  const double warm_in_subset = std::max(1.0, static_cast<double>(load.subset_size) * warm_fraction);
-  const double min_send_rate = kMinFleetRate / std::max(kMinFleetSize, settings_.gateway_count);
-  const double rate = capacity * std::max(min_send_rate, in_subset ? load.send_rate / warm_in_subset : 0);
+  const auto ready_workers = static_cast<double>(inputs.ready_workers);
+  const double warm_fraction = static_cast<double>(inputs.warm_workers) / std::max(1.0, ready_workers);
+  const double warm_in_subset = std::max(1.0, static_cast<double>(inputs.subset_size) * warm_fraction);
+  const double min_send_rate = kMinTotalRate / std::max(kMinGatewayCount, settings_.gateway_count);
+  const double rate = capacity * std::max(min_send_rate, in_subset ? inputs.send_rate / warm_in_subset : 0);
   const double max_budget = std::max(1.0, rate * to_seconds(settings_.contract.overload_window));
   const double elapsed = to_seconds(now - worker.budget_updated_at);
   worker.slow_start_budget = std::min(max_budget, worker.slow_start_budget + rate * elapsed);
--- a/src/policy/timing_policy.cpp
+++ b/src/policy/timing_policy.cpp
@@ -11,19 +11,19 @@
 
 // Clock ticks that the final answer may take to reach the client before the client's time-out.
 constexpr int kAnswerTransitTicks = 3;
-// If the time left of a client retry differs by no more than this from that of a first attempt, the client is
-// assumed to use the same time-out for each of its attempts.
+// If the time left of a client retry differs by no more than this from the longest time left of requests that
+// are not client retries, the client is assumed to use a new time-out each time it sends a request.
 constexpr Duration kTimeoutTolerance = 10ms;
-// From this load of the fleet on, attempts leave no time for a retry.
+// The time-out of an attempt leaves time for a retry only while the load of the fleet is below this value.
 constexpr double kMaxRetryReserveLoad = 0.7;
-// The time-out of an attempt is this multiple of this quantile of the route's response times.
+// The time-out of an attempt is this multiple of this quantile of the route's latencies.
 constexpr double kTimeoutFactor = 3;
 constexpr double kTimeoutQuantile = 0.95;
 // The time-out divided by the latency objective is at least this value, so that ordinary slow responses do
 // not time out.
 constexpr double kMinTimeoutRatio = 0.3;
-// Below this ratio, about a third of the latency objective remains for a retry. From it on, too little
-// remains, and the attempt may take until the request's deadline.
+// If the ratio is below this value, about a third of the latency objective or more remains for a retry.
+// Otherwise too little remains, and the attempt may take until the request's deadline.
 constexpr double kMaxTimeoutRatio = 0.65;
 
 }  // namespace
@@ -32,7 +32,7 @@
   const Route& route = settings_.routes[incoming.route];
   const Duration deadline = answer_deadline(incoming.time_left, now);
   if (route.late_value_share > 0) return deadline;
-  const Duration time_to_objective = route.latency_objective - time_since_first_attempt(incoming);
+  const Duration time_to_objective = route.latency_objective - time_since_first_sent(incoming);
   return std::min(deadline, answer_deadline(time_to_objective, now));
 }
 
@@ -40,15 +40,16 @@
   return now + time_left - kAnswerTransitTicks * settings_.tick;
 }
 
-// The latency objective counts from the client's first attempt. The time left of a client retry usually ends
-// at the client time-out, so the client time-out minus the time left is the time since the first attempt. If
-// the retry has as much time left as a first attempt, the client uses a separate time-out for each attempt.
-// That difference is then only an upper bound of the time since the first attempt, and half of it is assumed.
-Duration TimingPolicy::time_since_first_attempt(const IncomingRequest& incoming) const {
+// Most clients use one time-out for a request and its client retries. The client time-out minus the time left
+// is then the time since the client first sent the request. If a client retry has as much time left as a
+// request that is sent for the first time, the client uses a new time-out for each client retry. The
+// difference is then only an upper bound of the time since the client first sent the request, and half of it
+// is assumed.
+Duration TimingPolicy::time_since_first_sent(const IncomingRequest& incoming) const {
   if (!incoming.is_retry) return Duration(0);
-  const Duration first_attempt_timeout = routes_[incoming.route].max_first_attempt_timeout();
+  const Duration initial_time_left = routes_[incoming.route].max_initial_time_left();
   const bool ends_at_client_timeout =
-      std::chrono::abs(incoming.time_left - first_attempt_timeout) > kTimeoutTolerance;
+      std::chrono::abs(incoming.time_left - initial_time_left) > kTimeoutTolerance;
   const Duration timeout = settings_.routes[incoming.route].client_timeout;
   return std::max(Duration(0), timeout - incoming.time_left) / (ends_at_client_timeout ? 1 : 2);
 }
--- a/src/policy/timing_policy.hpp
+++ b/src/policy/timing_policy.hpp
@@ -21,16 +21,17 @@
   // The time by which the gateway must send the final answer to a client that times out after `time_left`.
   Duration answer_deadline(Duration time_left, Duration now) const;
 
-  // How long the next attempt of the request may take. It leaves time for a retry if the route allows one and
-  // `load`, the load of the fleet, is low; otherwise the attempt may take until the request's deadline.
+  // The time-out of the request's next attempt. The time-out leaves time for a retry if the route allows
+  // retries and `load`, the load of the fleet, is low. Otherwise the attempt may take until the request's
+  // deadline.
   Duration attempt_timeout(const Request& request, double load, Duration now) const;
 
   // The mean latency of the route's responses, scaled to the units of the request.
   Duration expected_latency(const Request& request) const;
 
  private:
-  // Estimates the time since the client first sent the request; 0 if this is its first attempt.
-  Duration time_since_first_attempt(const IncomingRequest& incoming) const;
+  // Estimates the time since the client first sent the request; 0 unless the request is a client retry.
+  Duration time_since_first_sent(const IncomingRequest& incoming) const;
 
   const PolicySettings& settings_;
   const std::vector<RouteStatistics>& routes_;
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -13,11 +13,11 @@
 // How an attempt, a health check or a counter call ended.
 enum class Outcome {
   success,
-  failure,             // the worker reported an error; the request may have been executed
-  rejected,            // refused before execution: queue full or draining
-  timed_out,           // no response in time; the request may have been or may still be executed
+  failure,             // the worker reported an error; it may have executed the request
+  rejected,            // the worker rejected the request without executing it: queue full or draining
+  timed_out,           // no response in time; the worker may have executed or may still execute the request
   connect_failed,      // the request was not delivered
-  connection_lost,     // the connection ended after the request was delivered; it may have been executed
+  connection_lost,     // the connection ended after delivery; the worker may have executed the request
   malformed_response,  // the worker executed the request, but its response cannot be used
   // The outcomes below do not indicate the health of the worker.
   cancelled,         // this gateway cancelled the attempt
--- a/src/policy/worker.hpp
+++ b/src/policy/worker.hpp
@@ -7,24 +7,27 @@
 namespace ironquay {
 
 struct Worker {
-  // As reported by discovery.
+  // The fields down to started_at are reported by discovery.
   std::string zone;
   std::int64_t cell = 0;
-  double capacity_share = 1;  // capacity relative to a standard worker
+  double relative_capacity = 1;  // full capacity divided by that of a standard worker
   WorkerStatus status = WorkerStatus::ready;
-  Duration started_at{0};  // 0: started long ago, so the worker is warm
+  Duration started_at{0};  // when the worker started; 0: long ago, so it is warm
 
-  int in_flight = 0;  // attempts of this gateway in flight
-  // The greatest number of attempts that this gateway may have in flight. Below one, the gateway pauses
-  // between attempts; see ConcurrencyLimiter.
+  int in_flight = 0;  // this gateway's attempts in flight at the worker
+  // The greatest number of attempts that this gateway may have in flight at the worker. If it is below one,
+  // the gateway waits between attempts; see ConcurrencyLimiter.
   double concurrency_limit = 0;
   Duration limit_reduced_at{0};  // when the limit was last reduced
-  int consecutive_failures = 0;  // weighted; see OutlierDetector
-  double mean_latency = 0;       // seconds, average of recent attempts
-  double relative_latency = 1;   // average ratio of its latency to the mean latency of the request's route
-  Duration last_attempt_ended_at{0};  // time at which an attempt last ended
+  // The number of failures since the last success. Some failures count twice or not at all; see
+  // OutlierDetector.
+  int consecutive_failures = 0;
+  double mean_latency = 0;  // average latency of recent attempts, in seconds
+  // The average ratio of an attempt's latency to the mean latency of its route.
+  double relative_latency = 1;
+  Duration last_attempt_ended_at{0};  // when an attempt last ended
 
-  double slow_start_budget = 0;   // attempts that it may be sent while it warms up; see SlowStart
+  double slow_start_budget = 0;   // attempts that the warming worker may be sent; see SlowStart
   Duration budget_updated_at{0};  // when the budget was last increased
 };
 
--- a/src/policy/worker_registry.cpp
+++ b/src/policy/worker_registry.cpp
@@ -12,8 +12,8 @@
   const auto [entry, inserted] = workers_.try_emplace(update.worker);
   Worker& worker = entry->second;
   if (inserted || update.started_at != worker.started_at) {
-    // The worker is new or has restarted, so statistics of an earlier process do not apply. Attempts in
-    // flight still end one by one and must stay counted.
+    // The worker is new or has restarted, so the statistics of an earlier process do not apply. Attempts in
+    // flight are still counted until they end.
     const int in_flight = worker.in_flight;
     worker = Worker();
     worker.in_flight = in_flight;
@@ -24,7 +24,7 @@
   worker.status = update.status;
   worker.zone = std::string(update.zone);
   worker.cell = update.cell;
-  worker.capacity_share = update.capacity_share > 0 ? update.capacity_share : 1;
+  worker.relative_capacity = update.relative_capacity > 0 ? update.relative_capacity : 1;
 }
 
 bool WorkerRegistry::end_list(Duration now) {
--- a/src/policy/worker_registry.hpp
+++ b/src/policy/worker_registry.hpp
@@ -1,6 +1,6 @@
-// Keeps the workers of the endpoint list, and counts how much of their concurrency limits this gateway uses.
+// Keeps the state of the workers in the endpoint list, and the utilization of their concurrency limits.
 //
-// As soon as a list reports a worker as draining or gone, the worker receives no new attempts.
+// A worker receives no new attempts as soon as an endpoint list reports it as draining or gone.
 #pragma once
 #include <map>
 #include <set>
@@ -24,7 +24,7 @@
   // changes only in end_list().
   void update(const EndpointUpdate& update, Duration now);
   // Completes the list and removes workers that are gone and have no attempts in flight. Returns false if the
-  // list could not be fetched; the previous list remains in use then.
+  // list could not be fetched, in which case the previous list remains in use.
   bool end_list(Duration now);
 
   // Null if there is no such worker.
@@ -36,11 +36,11 @@
   std::size_t size() const { return workers_.size(); }
   // The workers that were ready at the end of the last list, in ascending order.
   const std::vector<WorkerId>& ready() const { return ready_; }
-  // The number of these workers that were warm at that time.
+  // The number of workers in ready() that were warm at the end of the last list.
   std::size_t warm_count() const { return warm_count_; }
 
-  // Sets the worker's concurrency limit. The limits must not be set in another way, because the registry
-  // keeps their sum over the ready workers.
+  // Sets the worker's concurrency limit. Callers must not assign Worker::concurrency_limit directly, because
+  // the registry keeps the sum of the limits of the ready workers.
   void set_concurrency_limit(Worker& worker, double limit);
   void attempt_started(Worker& worker);
   // Returns false if the worker is unknown or has no attempt in flight.
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -7,10 +7,11 @@
 
 // The maximum number of pairs of workers that are drawn for one attempt.
 constexpr int kMaxDraws = 8;
-// The first draws select from this gateway's subset of the workers, the remaining ones from all ready
+// This many draws select from this gateway's subset of the workers. The remaining ones select from all ready
 // workers.
 constexpr int kDrawsInSubset = 6;
-// Attempts added to the load of a worker in another zone if traffic between zones has a cost.
+// The number of attempts added to the load score of a worker in another zone if traffic between zones has a
+// cost.
 constexpr double kCrossZoneAttempts = 0.5;
 
 }  // namespace
@@ -19,7 +20,8 @@
   const std::size_t ready_count = registry_.ready().size();
   if (ready_count == 0) return std::nullopt;
   for (int draw = 0; draw < kMaxDraws; ++draw) {
-    // Only some workers discard the repeat of an earlier attempt, and the subset may contain none of them.
+    // A repeat of an earlier attempt may be sent only to workers that discard it, and the subset may contain
+    // none of them.
     const bool use_all_workers =
         draw >= kDrawsInSubset || retry_policy_.allowed_actions(request, now).repeated_attempt != nullptr;
     const std::size_t candidates = use_all_workers ? ready_count : subset_.size(ready_count);
@@ -54,7 +56,7 @@
   // A retry uses a different worker than the previous attempt if more than one is ready.
   if (ready_count > 1 && !request.attempts.empty() && request.attempts.back().worker == id) return false;
   const bool in_subset = position < subset_.size(ready_count);
-  slow_start_.accrue_budget(registry_.at(id), in_subset, slow_start_load(), now);
+  slow_start_.refill_budget(registry_.at(id), in_subset, slow_start_inputs(), now);
   return can_send_to(request, id, now);
 }
 
@@ -62,7 +64,7 @@
   const Worker& worker = registry_.at(id);
   const bool crosses_zone = settings_.cross_zone_cost > 0 && worker.zone != settings_.zone;
   const double attempts = worker.in_flight + 1 + (crosses_zone ? kCrossZoneAttempts : 0);
-  return attempts * worker.relative_latency / worker.capacity_share;
+  return attempts * worker.relative_latency / worker.relative_capacity;
 }
 
 WorkerId WorkerSelector::worker_at_position(std::size_t position) const {
@@ -70,7 +72,7 @@
   return registry_.ready()[(subset_.offset(ready_count) + position) % ready_count];
 }
 
-SlowStartLoad WorkerSelector::slow_start_load() const {
+SlowStartInputs WorkerSelector::slow_start_inputs() const {
   const std::size_t ready_count = registry_.ready().size();
   return {subset_.send_rate(), subset_.size(ready_count), ready_count, registry_.warm_count()};
 }
--- a/src/policy/worker_selector.hpp
+++ b/src/policy/worker_selector.hpp
@@ -27,23 +27,24 @@
         retry_policy_(retry_policy),
         random_(random) {}
 
-  // Empty if an attempt of the request can be sent to none of the workers drawn. Draws random numbers.
+  // Returns the worker for the request's next attempt. Empty if the attempt can be sent to none of the
+  // workers that were drawn.
   std::optional<WorkerId> select(const Request& request, Duration now);
 
   // Whether an attempt of the request can be sent to the worker now.
   bool can_send_to(const Request& request, WorkerId id, Duration now) const;
 
  private:
-  // Updates the slow-start budget of the worker at the position and returns whether the next attempt can be
-  // sent to it.
+  // Updates the slow-start budget of the worker at this position (see worker_at_position()) and returns
+  // whether the request's next attempt can be sent to the worker.
   bool check_candidate(const Request& request, std::size_t position, Duration now);
-  // The worker's attempts in flight, including the next one, scaled by its relative latency and its capacity.
-  // The worker with the lower score is selected.
+  // The worker's attempts in flight plus one for the next attempt, times its relative latency, divided by its
+  // relative capacity. Of two workers, the one with the lower score is selected.
   double load_score(WorkerId id) const;
   // The ready worker at this position, counted from the first worker of this gateway's subset.
   WorkerId worker_at_position(std::size_t position) const;
-  // Input of SlowStart::accrue_budget().
-  SlowStartLoad slow_start_load() const;
+  // The inputs to SlowStart::refill_budget().
+  SlowStartInputs slow_start_inputs() const;
 
   const PolicySettings& settings_;
   WorkerRegistry& registry_;
--- a/src/policy/worker_subset.cpp
+++ b/src/policy/worker_subset.cpp
@@ -8,11 +8,12 @@
 namespace ironquay {
 namespace {
 
-// Even at a gateway that sends few attempts, the subset must have other workers for the retries of a request.
+// The subset size at a gateway that sends no attempts. The subset must always contain other workers for the
+// retries of a request.
 constexpr double kMinSubsetSize = 4;
-// The initial limit of the attempts that all gateways together have in flight at one worker. It keeps a few
-// cores busy, and is divided among the gateways whose subsets contain the worker.
-constexpr double kInitialFleetLimit = 6;
+// The initial limit on the attempts that all gateways together have in flight at one worker. It is enough for
+// a few cores, and is divided among the gateways whose subsets contain the worker.
+constexpr double kInitialTotalLimit = 6;
 // The time constant of the exponential average that send_rate() returns.
 constexpr double kRateWindowSeconds = 2;
 
@@ -29,7 +30,7 @@
 
 double WorkerSubset::initial_concurrency_limit(std::size_t ready_workers) const {
   const auto subset = static_cast<double>(size(ready_workers));
-  return kInitialFleetLimit * std::max(static_cast<double>(ready_workers), subset) / subset /
+  return kInitialTotalLimit * std::max(static_cast<double>(ready_workers), subset) / subset /
          settings_.gateway_count;
 }
 
@@ -39,7 +40,7 @@
   if (warm) send_rate_ += 1 / kRateWindowSeconds;
 }
 
-void WorkerSubset::set_send_rate(double rate, Duration now) {
+void WorkerSubset::set_send_rate_for_testing(double rate, Duration now) {
   send_rate_ = rate;
   rate_updated_at_ = now;
 }
--- a/src/policy/worker_subset.hpp
+++ b/src/policy/worker_subset.hpp
@@ -1,9 +1,9 @@
 // Deterministic subsetting: each gateway prefers a small subset of the workers, so that it observes each of
 // them often.
 //
-// With hundreds of gateways, each one sends few attempts. If it spread them over all workers, it would reach
-// a given worker so rarely that its statistics about the worker would be out of date. A subset is a
-// contiguous range of the list of ready workers, which wraps around and starts at an offset given by the
+// With hundreds of gateways, each one sends few attempts. A gateway that distributed them over all workers
+// would reach a given worker so rarely that its statistics about the worker would be out of date. A subset is
+// a contiguous range of the list of ready workers, which wraps around and starts at an offset given by the
 // gateway's index.
 #pragma once
 #include <cstddef>
@@ -24,12 +24,12 @@
   // The concurrency limit, in attempts in flight, of a worker that this gateway has not observed yet.
   double initial_concurrency_limit(std::size_t ready_workers) const;
 
-  // Records that an attempt is sent. `warm` is true if its worker has its full capacity.
+  // Records that an attempt is sent. `warm` is true if the attempt's worker has its full capacity.
   void record_send(Duration now, bool warm);
   // Attempts per second to warm workers, averaged over about the last two seconds.
   double send_rate() const { return send_rate_; }
-  // Replaces the measured rate; for tests.
-  void set_send_rate(double rate, Duration now);
+  // Replaces the measured rate.
+  void set_send_rate_for_testing(double rate, Duration now);
 
  private:
   const PolicySettings& settings_;
--- a/test/policy/deadline_test.cpp
+++ b/test/policy/deadline_test.cpp
@@ -21,9 +21,9 @@
   }
 }
 
-// Guards against rejecting client retries as late although they can still meet the latency objective. The
-// last retry of a client may have more time left than its first attempt had, so the time left alone does not
-// show when the client sent the first attempt. Seen in the koshi-feed incident.
+// Guards against rejecting client retries as late although they can still meet the latency objective. A
+// client retry may have more time left than the request had when it was first sent, so the time left alone
+// does not show when that was. Seen in the koshi-feed incident.
 TEST_CASE("a client retry is rejected as late only if the latency objective has passed") {
   Fixture fixture;
   fixture.add_worker(1);
@@ -49,7 +49,7 @@
   fixture.balancer.on_deadline_shortened(1ms, 1, 101ms);
   fixture.balancer.on_timer(95ms);
   CHECK(fixture.last_action() == "send 1 to 1");
-  fixture.balancer.on_timer(96ms);  // 102 ms less three ticks of 2 ms for the answer to reach the client
+  fixture.balancer.on_timer(96ms);  // 102 ms minus three ticks of 2 ms for the answer to reach the client
   CHECK(fixture.last_action() == "cancel 1");
   CHECK(requests.empty());
   CHECK(requests.earliest_deadline() == Duration::max());
--- a/test/policy/quota_pool_test.cpp
+++ b/test/policy/quota_pool_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the shared pool on the counter: takes, returns of units, trimming to the burst, and the behaviour
-// of a gateway while the counter is slow, silent or unavailable.
+// of a gateway while the counter is slow, does not reply or is unavailable.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -60,7 +60,7 @@
 TEST_CASE("a take returns at most the units it took, even if its request no longer needs them") {
   Fixture fixture;
   fixture.add_request(1, 0).units = 1;
-  double min_amount = 0;  // the largest return is the most negative amount
+  double min_amount = 0;  // the largest return has the most negative amount
   for (int total = 0; total < 2000; ++total) {
     fixture.slice(3).tokens = 9;
     fixture.pool.reply_to_take("c", 4, total, 0, 0s);
@@ -92,8 +92,9 @@
   }
 }
 
-// Guards against takes of a second's demand from an exhausted pool: when the counter reset the connection,
-// the return of the units was lost, and a customer with high demand was rejected for seconds.
+// Guards against takes from an exhausted pool that include the units of one second of demand: when the
+// counter reset the connection, the return of these units was lost, and the requests of a customer with high
+// demand were rejected for seconds.
 TEST_CASE("a request takes only its own units from a pool that is known to be exhausted") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(2);
@@ -120,7 +121,7 @@
   CHECK(announcer.effects.gossip[0].first == 2);
   Fixture receiver;
   receiver.add_worker(1);
-  receiver.quota.counter().set_call_share(1e-9);
+  receiver.quota.counter().set_call_share_for_testing(1e-9);
   receiver.slice(2).tokens = 0;
   receiver.balancer.on_gossip(0s, 1, "no number");
   receiver.arrive(1, 1, 2);
@@ -135,7 +136,7 @@
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(3);
   slice.tokens = 0;
-  fixture.quota.counter().set_call_share(0.9);
+  fixture.quota.counter().set_call_share_for_testing(0.9);
   fixture.pool.set_mean_request_units(400);
   for (RequestId id = 1; fixture.effects.counter_amounts.empty() && id < 1000; ++id) {
     fixture.arrive(id, 4, 3, true);
@@ -148,10 +149,11 @@
 }
 
 TEST_CASE(
-    "requests pass without the counter up to a quarter of the burst since the last take; retries do not") {
+    "requests are admitted without the counter up to a quarter of the burst since the last take; client "
+    "retries are not") {
   Fixture fixture;
   for (WorkerId id = 1; id < 20; ++id) fixture.add_worker(id);
-  fixture.quota.counter().set_call_share(1e-9);
+  fixture.quota.counter().set_call_share_for_testing(1e-9);
   fixture.slice(300).tokens = 0;
   for (RequestId id = 1; id < 8; ++id) fixture.arrive(id, 4, 300);
   const auto sent = std::count_if(fixture.effects.actions.begin(), fixture.effects.actions.end(),
@@ -163,7 +165,8 @@
 }
 
 TEST_CASE(
-    "fewer requests call the counter while it is slow or silent, and all do again once it answers in time") {
+    "the share of requests that call the counter decreases after slow or missing replies and recovers after "
+    "replies in time") {
   Fixture fixture;
   fixture.slice(3);
   CounterHealth& counter = fixture.quota.counter();
--- a/test/policy/quota_slice_test.cpp
+++ b/test/policy/quota_slice_test.cpp
@@ -25,7 +25,7 @@
   }
 }
 
-TEST_CASE("while the counter is unavailable, the whole quota flows into the slices") {
+TEST_CASE("while the counter is unavailable the whole quota flows into the slices") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(3);
   slice.tokens = 0;
@@ -34,7 +34,7 @@
   CHECK(slice.tokens == Approx(1));
 }
 
-TEST_CASE("a contributed surplus returns to the slice only if the counter certainly did not add it") {
+TEST_CASE("a contributed surplus returns to the slice only if the counter cannot have added it") {
   for (const Outcome outcome : {Outcome::success, Outcome::rejected, Outcome::timed_out}) {
     Fixture fixture;
     QuotaSlice& slice = fixture.slice(2);
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("without a pool any positive balance admits one request, and the next is rejected immediately") {
+TEST_CASE("without a pool a slice with any tokens admits one request, and the next one is rejected") {
   PolicySettings settings = default_settings();
   settings.capabilities.counter = false;
   Fixture fixture(settings);
--- a/test/policy/retry_policy_test.cpp
+++ b/test/policy/retry_policy_test.cpp
@@ -44,8 +44,8 @@
   CHECK_FALSE(policy.allowed_actions(request, 0s).send);
 }
 
-// Guards against executing a keyed request twice: a retry that stays queued until its deduplication window
-// has ended is not discarded by the worker any more. Seen in the koshi-feed incident.
+// Guards against executing a keyed request twice: a worker does not discard a retry that was queued until the
+// deduplication window had ended. Seen in the koshi-feed incident.
 TEST_CASE("a keyed request is retried only in its deduplication scope and window") {
   Fixture fixture;
   fixture.add_worker(1).cell = 3;
@@ -58,8 +58,8 @@
   CHECK_FALSE(selector.can_send_to(request, 1, 100ms + 4s));
 }
 
-// Guards against writing an outdated attempt: an attempt that waits for its connection may be written up to
-// 1.5 s after the decision to send it. Seen in the incident "rare faults".
+// Guards against writing an attempt that is no longer allowed: an attempt that waits for its connection may
+// be written up to 1.5 s after the decision to send it. Seen in the incident "rare faults".
 TEST_CASE("an attempt that waited for a connection is sent only if it is still allowed") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
--- a/test/policy/slow_start_test.cpp
+++ b/test/policy/slow_start_test.cpp
@@ -15,7 +15,7 @@
     const SlowStart slow_start(settings);
     Worker worker;
     worker.started_at = 1us;
-    slow_start.accrue_budget(worker, true, {0, 1, 1, 0}, 500ms);
+    slow_start.refill_budget(worker, true, {0, 1, 1, 0}, 500ms);
     CHECK(worker.slow_start_budget * gateways <= 4 * 0.5);
     CHECK(worker.slow_start_budget > 0);
   }
@@ -30,7 +30,7 @@
   const double window_seconds = 1;
   const double warm_rate = 20;  // upper bound of the attempts per second to one warm worker
   const int subsets_with_worker = 300 * 16 / 200;
-  const SlowStartLoad load{12 * warm_rate / subsets_with_worker, 16, 200, 200};
+  const SlowStartInputs inputs{12 * warm_rate / subsets_with_worker, 16, 200, 200};
   for (const double age : {0.5, 1.0, 2.0, 5.0, 9.0}) {
     double max_attempts = 0;
     double attempt_limit = 0;
@@ -38,10 +38,10 @@
       Worker worker;
       worker.started_at = worker.budget_updated_at = 1us;
       for (Duration now = 0s; now <= std::chrono::duration<double>(age); now += 100ms) {
-        slow_start.accrue_budget(worker, gateway < subsets_with_worker, load, now);
+        slow_start.refill_budget(worker, gateway < subsets_with_worker, inputs, now);
       }
       const double capacity_share = 0.2 + 0.8 * age / 10;
-      // Within one window the gateway can spend the accumulated budget and what accrues in that window.
+      // Within one window the gateway can spend the accumulated budget and the refill during that window.
       const double budget = worker.slow_start_budget;
       max_attempts +=
           budget < 1 ? 0 : budget + capacity_share * warm_rate / subsets_with_worker * window_seconds;
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("the budget of a warming worker outside the subset accrues at the minimum rate only") {
+TEST_CASE("the budget of a warming worker outside the subset refills at the minimum rate only") {
   for (const bool in_subset : {true, false}) {
     PolicySettings settings = default_settings();
     settings.gateway_count = 300;
@@ -60,12 +60,12 @@
     for (WorkerId id = 1; id <= 60; ++id) fixture.add_worker(id);
     fixture.add_worker(warming, WorkerStatus::ready, 1us);
     REQUIRE(fixture.modules.workers().warm_count() == 59);
-    // Attempts can be sent to no other worker, so every draw that contains the warming one tries it.
+    // No attempt can be sent to the other workers, so every draw that contains the warming worker checks it.
     for (WorkerId id = 1; id <= 60; ++id) {
       if (id != warming) fixture.modules.workers().at(id).status = WorkerStatus::draining;
     }
     for (RequestId id = 1; id < 60; ++id) {
-      fixture.modules.subset().set_send_rate(4, id * 100ms);
+      fixture.modules.subset().set_send_rate_for_testing(4, id * 100ms);
       fixture.arrive(id, 1, 3, false, id * 100ms);
     }
     CHECK((fixture.modules.workers().at(warming).in_flight > 0) == in_subset);
--- a/test/policy/support.hpp
+++ b/test/policy/support.hpp
@@ -1,5 +1,5 @@
 // Fixture for the tests of the policy modules: a LoadBalancer whose modules the tests can modify and inspect
-// directly.
+// without going through its event functions.
 #pragma once
 #include <string>
 #include <utility>
@@ -45,9 +45,9 @@
 };
 
 // Gives the tests access to the private parts of a QuotaPool.
-class QuotaPoolPeer {
+class QuotaPoolTestAccess {
  public:
-  explicit QuotaPoolPeer(QuotaPool& pool) : pool_(pool) {}
+  explicit QuotaPoolTestAccess(QuotaPool& pool) : pool_(pool) {}
   void set_mean_request_units(double units) { pool_.mean_request_units_ = units; }
   // Delivers the counter's reply, a count of `total`, to a take of `units` by request 1. `shortfall`: units
   // that the request needs in addition to the slice's tokens.
@@ -66,9 +66,9 @@
 };
 
 // Gives the tests access to the private parts of a QuotaAllocator.
-class QuotaAllocatorPeer {
+class QuotaAllocatorTestAccess {
  public:
-  explicit QuotaAllocatorPeer(QuotaAllocator& quota) : quota_(quota) {}
+  explicit QuotaAllocatorTestAccess(QuotaAllocator& quota) : quota_(quota) {}
   CounterHealth& counter() { return quota_.counter_; }
   bool has_rebalances() const { return !quota_.rebalances_.empty(); }
 
@@ -77,9 +77,9 @@
 };
 
 // Gives the tests access to the modules of a LoadBalancer.
-class LoadBalancerPeer {
+class LoadBalancerTestAccess {
  public:
-  explicit LoadBalancerPeer(LoadBalancer& balancer) : balancer_(balancer) {}
+  explicit LoadBalancerTestAccess(LoadBalancer& balancer) : balancer_(balancer) {}
   RequestTable& requests() { return balancer_.requests_; }
   WorkerRegistry& workers() { return balancer_.workers_; }
   WorkerSubset& subset() { return balancer_.subset_; }
@@ -138,11 +138,11 @@
 
   RecordingEffects effects;
   LoadBalancer balancer;
-  LoadBalancerPeer modules;
-  QuotaAllocatorPeer quota;
-  QuotaPoolPeer pool;
+  LoadBalancerTestAccess modules;
+  QuotaAllocatorTestAccess quota;
+  QuotaPoolTestAccess pool;
 
-  // Announces a worker, and gives it a concurrency limit of 4.
+  // Adds a worker through an endpoint list and sets its concurrency limit to 4.
   Worker& add_worker(WorkerId id, WorkerStatus status = WorkerStatus::ready, Duration started_at = 0s) {
     WorkerRegistry& workers = modules.workers();
     workers.begin_list(EndpointListKind::delta);
--- a/test/policy/worker_health_test.cpp
+++ b/test/policy/worker_health_test.cpp
@@ -27,8 +27,8 @@
   Worker& lossy_worker = lossy.add_worker(1);
   Worker& overloaded_worker = overloaded.add_worker(1);
   const Request& request = lossy.add_request(1, 0);
-  lossy.modules.route(0).set_mean_units(1);
-  overloaded.modules.route(0).set_mean_units(1);
+  lossy.modules.route(0).set_mean_units_for_testing(1);
+  overloaded.modules.route(0).set_mean_units_for_testing(1);
   for (int i = 0; i < 300; ++i) {
     const Outcome outcome = i % 3 == 0 ? Outcome::timed_out : Outcome::success;
     lossy.modules.observer().record(lossy_worker, request, outcome, 50ms, 800ms);
@@ -39,9 +39,9 @@
 }
 
 // Guards against gateways that keep a failing worker overloaded although each of them has only one attempt in
-// flight there: a limit below one must pause the worker between attempts. Seen in the rating-laval incident
-// with ten gateways.
-TEST_CASE("three failures in a row eject a worker, which is then paused between attempts") {
+// flight at it: with a limit below one, a gateway must wait between attempts. Seen in the rating-laval
+// incident with ten gateways.
+TEST_CASE("three failures in a row eject a worker, and the gateway then waits between attempts at it") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
   const Request& request = fixture.add_request(1, 0);
@@ -58,7 +58,7 @@
 TEST_CASE("the longer latency of a request with more units does not lower the concurrency limit") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
-  fixture.modules.route(0).set_mean_units(1);
+  fixture.modules.route(0).set_mean_units_for_testing(1);
   Request& request = fixture.add_request(1, 0);
   request.units = 4;
   fixture.modules.observer().record(worker, request, Outcome::success, 800ms, 800ms);
@@ -68,7 +68,7 @@
   CHECK(worker.concurrency_limit < 4);
 }
 
-// Guards against a gateway process that is suspended for seconds and afterwards counts all its attempts in
+// Guards against a gateway that, after its process was suspended for seconds, counts all its attempts in
 // flight as time-outs of their workers. Seen in the rating-laval incident.
 TEST_CASE("attempts that were in flight while the process was suspended do not lower concurrency limits") {
   Fixture fixture;
