--- a/src/policy/attempt_observer.cpp
+++ b/src/policy/attempt_observer.cpp
@@ -31,31 +31,31 @@
                              Duration now) {
   worker.last_attempt_ended_at = now;
   if (outcome >= Outcome::cancelled || now - elapsed < resumed_at_) return;
-  RouteStatistics& route = routes_[request.route];
+  RouteStatistics& statistics = route_statistics_[request.route];
   // The latency is divided by the size of the request, because a request of more units is assumed to take
   // proportionally longer.
-  const double relative_size = route.relative_size(request.units);
+  const double relative_size = statistics.relative_size(request.units);
   const double elapsed_seconds = to_seconds(elapsed);
   const double route_mean_latency =
-      route.mean_latency() > 0 ? route.mean_latency() : elapsed_seconds / relative_size;
+      statistics.mean_latency() > 0 ? statistics.mean_latency() : elapsed_seconds / relative_size;
   if (outcome == Outcome::success || outcome == Outcome::timed_out) {
     update_latency(worker, elapsed_seconds, relative_size, route_mean_latency);
   }
   if (outcome == Outcome::success) {
-    record_response(worker, route, request, elapsed, now);
+    record_response(worker, statistics, request, elapsed, now);
   } else {
     record_failure(worker, outcome, elapsed, now);
   }
 }
 
-void AttemptObserver::record_response(Worker& worker, RouteStatistics& route, const Request& request,
+void AttemptObserver::record_response(Worker& worker, RouteStatistics& statistics, const Request& request,
                                       Duration elapsed, Duration now) {
   const double objective = to_seconds(settings_.routes[request.route].latency_objective);
-  const double relative_size = route.relative_size(request.units);
+  const double relative_size = statistics.relative_size(request.units);
   const double latency_ratio = to_seconds(elapsed) / objective / relative_size;
-  route.record_response(to_seconds(elapsed) / relative_size, latency_ratio);
+  statistics.record_response(to_seconds(elapsed) / relative_size, latency_ratio);
   OutlierDetector::record_success(worker);
-  limiter_.record_response(worker, {elapsed, latency_ratio, route.unloaded_latency() / objective}, now);
+  limiter_.record_response(worker, {elapsed, latency_ratio, statistics.unloaded_latency() / objective}, now);
   overload_.record_response(latency_ratio > kOverloadLatencyRatio);
 }
 
--- a/src/policy/attempt_observer.hpp
+++ b/src/policy/attempt_observer.hpp
@@ -15,8 +15,8 @@
 class AttemptObserver {
  public:
   AttemptObserver(const PolicySettings& settings, ConcurrencyLimiter& limiter, OverloadController& overload,
-                  std::vector<RouteStatistics>& routes)
-      : settings_(settings), limiter_(limiter), overload_(overload), routes_(routes) {}
+                  std::vector<RouteStatistics>& route_statistics)
+      : settings_(settings), limiter_(limiter), overload_(overload), route_statistics_(route_statistics) {}
 
   // Records that an attempt of the request at the worker ended, or that the gateway stopped waiting for it,
   // `elapsed` after it was sent.
@@ -27,14 +27,14 @@
   void process_resumed(Duration now) { resumed_at_ = now; }
 
  private:
-  void record_response(Worker& worker, RouteStatistics& route, const Request& request, Duration elapsed,
+  void record_response(Worker& worker, RouteStatistics& statistics, const Request& request, Duration elapsed,
                        Duration now);
   void record_failure(Worker& worker, Outcome outcome, Duration elapsed, Duration now);
 
   const PolicySettings& settings_;
   ConcurrencyLimiter& limiter_;
   OverloadController& overload_;
-  std::vector<RouteStatistics>& routes_;
+  std::vector<RouteStatistics>& route_statistics_;
   Duration resumed_at_{0};  // when the process last resumed after a suspension
 };
 
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -30,13 +30,13 @@
   const double limit = worker.concurrency_limit;
   const double slow_ratio = std::max(kSlowLatencyRatio, kSlowUnloadedFactor * timing.unloaded_latency_ratio);
   const double fast_ratio = std::max(kFastLatencyRatio, timing.unloaded_latency_ratio);
-  const double initial_limit = std::min(1.0, subset_.initial_concurrency_limit(registry_.ready().size()));
+  const double initial_limit = std::min(1.0, subset_.initial_concurrency_limit(workers_.ready().size()));
   // A limit below the initial limit doubles with each response that is not slow. A higher limit grows in
   // small steps.
   if (limit < initial_limit && timing.latency_ratio < slow_ratio) {
-    registry_.set_concurrency_limit(worker, std::min(initial_limit, 2 * limit));
+    workers_.set_concurrency_limit(worker, std::min(initial_limit, 2 * limit));
   } else if (timing.latency_ratio < fast_ratio && worker.in_flight + 1 >= limit) {
-    registry_.set_concurrency_limit(worker, limit + initial_limit * initial_limit / limit);
+    workers_.set_concurrency_limit(worker, limit + initial_limit * initial_limit / limit);
   }
   if (timing.latency_ratio > slow_ratio) shrink(worker, kSlowResponseDecrease, timing.elapsed, now);
 }
@@ -49,7 +49,7 @@
 }
 
 void ConcurrencyLimiter::cap_limit(Worker& worker, double max_limit) {
-  registry_.set_concurrency_limit(worker, std::min(worker.concurrency_limit, max_limit));
+  workers_.set_concurrency_limit(worker, std::min(worker.concurrency_limit, max_limit));
 }
 
 bool ConcurrencyLimiter::may_send(const Worker& worker, Duration now) {
@@ -61,7 +61,7 @@
 
 void ConcurrencyLimiter::shrink(Worker& worker, double factor, Duration elapsed, Duration now) {
   if (now - worker.limit_reduced_at < elapsed) return;
-  registry_.set_concurrency_limit(worker, std::max(kMinLimit, worker.concurrency_limit * factor));
+  workers_.set_concurrency_limit(worker, std::max(kMinLimit, worker.concurrency_limit * factor));
   worker.limit_reduced_at = now;
 }
 
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -23,8 +23,8 @@
 
 class ConcurrencyLimiter {
  public:
-  ConcurrencyLimiter(WorkerRegistry& registry, const WorkerSubset& subset)
-      : registry_(registry), subset_(subset) {}
+  ConcurrencyLimiter(WorkerRegistry& workers, const WorkerSubset& subset)
+      : workers_(workers), subset_(subset) {}
 
   // Adapts the worker's limit after a response.
   void record_response(Worker& worker, const ResponseTiming& timing, Duration now);
@@ -40,7 +40,7 @@
   // Multiplies the limit by `factor`, unless it was reduced within the last `elapsed`.
   void shrink(Worker& worker, double factor, Duration elapsed, Duration now);
 
-  WorkerRegistry& registry_;
+  WorkerRegistry& workers_;
   const WorkerSubset& subset_;
 };
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -69,11 +69,11 @@
       workers_(slow_start_, subset_),
       retry_policy_(settings_),
       limiter_(workers_, subset_),
-      observer_(settings_, limiter_, overload_, routes_),
-      timing_(settings_, routes_),
+      observer_(settings_, limiter_, overload_, route_statistics_),
+      timing_(settings_, route_statistics_),
       selector_(settings_, workers_, subset_, slow_start_, limiter_, retry_policy_, random_),
       quota_(settings_, random_, effects) {
-  routes_.resize(settings_.routes.size());
+  route_statistics_.resize(settings_.routes.size());
   if (settings_.capabilities.polls_endpoints) endpoint_poll_times_.insert(now);
 }
 
@@ -169,8 +169,8 @@
 }
 
 Request& LoadBalancer::add_request(const IncomingRequest& incoming) {
-  RouteStatistics& route = routes_[incoming.route];
-  route.record_request(incoming.units, incoming.is_retry, incoming.time_left);
+  RouteStatistics& statistics = route_statistics_[incoming.route];
+  statistics.record_request(incoming.units, incoming.is_retry, incoming.time_left);
   Request& request = requests_.insert(incoming.id);
   request.route = incoming.route;
   request.plan = incoming.plan;
@@ -178,7 +178,7 @@
   request.units = incoming.units;
   request.queue_rank = queue_rank(request);
   request.over_quota = true;  // until its units are charged to the quota
-  if (route.mean_latency() > 0) overload_.record_rank(request.queue_rank);
+  if (statistics.mean_latency() > 0) overload_.record_rank(request.queue_rank);
   requests_.set_deadline(incoming.id, timing_.answer_deadline(incoming, now_));
   return request;
 }
@@ -187,9 +187,9 @@
 // negated because the request with the lowest rank is sent first. The rank does not depend on the quota plan,
 // so that an overload does not affect the requests of one plan only.
 double LoadBalancer::queue_rank(const Request& request) const {
-  const RouteStatistics& route = routes_[request.route];
-  return -settings_.routes[request.route].priority_weight * route.mean_units() /
-         std::max(route.mean_latency(), 1e-3);
+  const RouteStatistics& statistics = route_statistics_[request.route];
+  return -settings_.routes[request.route].priority_weight * statistics.mean_units() /
+         std::max(statistics.mean_latency(), 1e-3);
 }
 
 void LoadBalancer::apply_quota(RequestId id, bool within_quota, Duration retry_after) {
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -130,7 +130,7 @@
   Effects& effects_;
   Duration now_;
   RandomSource random_;
-  std::vector<RouteStatistics> routes_;  // one entry per element of PolicySettings::routes
+  std::vector<RouteStatistics> route_statistics_;  // one entry per element of PolicySettings::routes
   RequestTable requests_;
   // Requests to be queued or answered by admit_next(): those that passed the quota check, and those whose
   // attempt ended without a final answer.
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -29,8 +29,8 @@
 }
 
 // One attempt at most halves or doubles the admitted share, even if the share is low.
-void OverloadController::adjust(bool slow, double step) {
-  admitted_share_ += slow ? -std::min(step, admitted_share_ / 2) : std::min(step, admitted_share_);
+void OverloadController::adjust(bool lower, double step) {
+  admitted_share_ += lower ? -std::min(step, admitted_share_ / 2) : std::min(step, admitted_share_);
   admitted_share_ = std::clamp(admitted_share_, kMinAdmittedShare, 1.0);
 }
 
--- a/src/policy/overload_controller.hpp
+++ b/src/policy/overload_controller.hpp
@@ -30,8 +30,8 @@
   double admitted_share() const { return admitted_share_; }
 
  private:
-  // Lowers the admitted share by `step` if `slow`, raises it by `step` otherwise.
-  void adjust(bool slow, double step);
+  // Lowers the admitted share by `step` if `lower` is true; raises it by `step` otherwise.
+  void adjust(bool lower, double step);
 
   double admitted_share_ = 1;
   double timely_attempt_share_ = 1;  // share of recent attempts that ended with a response that was not slow
--- a/src/policy/quota_allocator.cpp
+++ b/src/policy/quota_allocator.cpp
@@ -14,9 +14,9 @@
 }  // namespace
 
 QuotaAllocator::QuotaAllocator(const PolicySettings& settings, RandomSource& random, Effects& effects)
-    : counter_(settings.capabilities.counter_timeout),
-      slices_(settings, counter_),
-      pool_(settings, slices_, counter_, random, effects) {}
+    : counter_health_(settings.capabilities.counter_timeout),
+      slices_(settings, counter_health_),
+      pool_(settings, slices_, counter_health_, random, effects) {}
 
 QuotaSlice& QuotaAllocator::slice(const std::string& customer, std::size_t plan, int gateway_spread,
                                   Duration now) {
--- a/src/policy/quota_allocator.hpp
+++ b/src/policy/quota_allocator.hpp
@@ -55,7 +55,7 @@
  private:
   friend class QuotaAllocatorTestAccess;
 
-  CounterHealth counter_;
+  CounterHealth counter_health_;
   QuotaSlices slices_;
   QuotaPool pool_;
   std::multimap<Duration, std::string> rebalances_;  // customers by the time of their next rebalance
--- a/src/policy/quota_pool.cpp
+++ b/src/policy/quota_pool.cpp
@@ -83,7 +83,7 @@
   const CounterCall call = std::move(pending->second.front());
   pending->second.pop_front();
   if (pending->second.empty()) pending_calls_.erase(pending);
-  counter_.record(reply.outcome, call.sent_at, now);
+  counter_health_.record(reply.outcome, call.sent_at, now);
 
   QuotaSlice* slice = slices_.find(call.customer);
   if (slice == nullptr) return std::nullopt;
@@ -195,7 +195,7 @@
 // The surplus is the slice's inflow over kSurplusSeconds that exceeds demand and its headroom. The slice
 // keeps at least the units of one request of peak size.
 void QuotaPool::contribute_surplus(const std::string& customer, QuotaSlice& slice, Duration now) {
-  if (slice.pooled_share <= 0 || !counter_.available(now)) return;
+  if (slice.pooled_share <= 0 || !counter_health_.available(now)) return;
   slices_.refill(slice, now);
   const double local_rate = slice.rate * (1 - slice.pooled_share);
   const double unused = (local_rate / kDemandHeadroomDivisor - slice.demand_rate) * kSurplusSeconds;
@@ -209,7 +209,8 @@
 // The probability is proportional to the request's units, because a wrong decision on a larger request
 // affects more units.
 double QuotaPool::call_probability(const Request& request) const {
-  return std::min(1.0, counter_.call_share() * request.units / std::max(mean_request_units_, kMinAmount));
+  return std::min(1.0,
+                  counter_health_.call_share() * request.units / std::max(mean_request_units_, kMinAmount));
 }
 
 }  // namespace ironquay
--- a/src/policy/quota_pool.hpp
+++ b/src/policy/quota_pool.hpp
@@ -51,9 +51,13 @@
 class QuotaPool {
  public:
   // All arguments must outlive the pool.
-  QuotaPool(const PolicySettings& settings, QuotaSlices& slices, CounterHealth& counter, RandomSource& random,
-            Effects& effects)
-      : settings_(settings), slices_(slices), counter_(counter), random_(random), effects_(effects) {}
+  QuotaPool(const PolicySettings& settings, QuotaSlices& slices, CounterHealth& counter_health,
+            RandomSource& random, Effects& effects)
+      : settings_(settings),
+        slices_(slices),
+        counter_health_(counter_health),
+        random_(random),
+        effects_(effects) {}
 
   // Updates the mean size of requests with an arriving request of `units`.
   void record_request(double units);
@@ -98,7 +102,7 @@
 
   const PolicySettings& settings_;
   QuotaSlices& slices_;
-  CounterHealth& counter_;
+  CounterHealth& counter_health_;
   RandomSource& random_;
   Effects& effects_;
   ExhaustedPools exhausted_;
--- a/src/policy/quota_slices.cpp
+++ b/src/policy/quota_slices.cpp
@@ -67,7 +67,7 @@
 // While the counter is unavailable, nothing is taken from the pool. The slices then receive the whole quota,
 // so that their sum still equals it.
 double QuotaSlices::effective_pooled_share(const QuotaSlice& slice, Duration now) const {
-  return counter_.available(now) ? slice.pooled_share : 0;
+  return counter_health_.available(now) ? slice.pooled_share : 0;
 }
 
 void QuotaSlices::record_request(QuotaSlice& slice, double units, bool is_retry) {
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -15,8 +15,8 @@
 class QuotaSlices {
  public:
   // Both arguments must outlive the slices.
-  QuotaSlices(const PolicySettings& settings, const CounterHealth& counter)
-      : settings_(settings), counter_(counter) {}
+  QuotaSlices(const PolicySettings& settings, const CounterHealth& counter_health)
+      : settings_(settings), counter_health_(counter_health) {}
 
   struct Lookup {
     QuotaSlice& slice;
@@ -63,7 +63,7 @@
 
  private:
   const PolicySettings& settings_;
-  const CounterHealth& counter_;
+  const CounterHealth& counter_health_;
   std::unordered_map<std::string, QuotaSlice> slices_;
 };
 
--- a/src/policy/timing_policy.cpp
+++ b/src/policy/timing_policy.cpp
@@ -47,7 +47,7 @@
 // is assumed.
 Duration TimingPolicy::time_since_first_sent(const IncomingRequest& incoming) const {
   if (!incoming.is_retry) return Duration(0);
-  const Duration initial_time_left = routes_[incoming.route].max_initial_time_left();
+  const Duration initial_time_left = route_statistics_[incoming.route].max_initial_time_left();
   const bool ends_at_client_timeout =
       std::chrono::abs(incoming.time_left - initial_time_left) > kTimeoutTolerance;
   const Duration timeout = settings_.routes[incoming.route].client_timeout;
@@ -56,7 +56,7 @@
 
 Duration TimingPolicy::attempt_timeout(const Request& request, double load, Duration now) const {
   const Route& route = settings_.routes[request.route];
-  const RouteStatistics& statistics = routes_[request.route];
+  const RouteStatistics& statistics = route_statistics_[request.route];
   const Duration time_to_deadline = request.deadline - now;
   const double base_timeout_ratio = kTimeoutFactor * statistics.latency_quantile(kTimeoutQuantile);
   const double timeout_ratio =
@@ -69,7 +69,7 @@
 }
 
 Duration TimingPolicy::expected_latency(const Request& request) const {
-  const RouteStatistics& statistics = routes_[request.route];
+  const RouteStatistics& statistics = route_statistics_[request.route];
   return from_seconds(statistics.mean_latency() * statistics.relative_size(request.units));
 }
 
--- a/src/policy/timing_policy.hpp
+++ b/src/policy/timing_policy.hpp
@@ -11,9 +11,10 @@
 
 class TimingPolicy {
  public:
-  // Both arguments must outlive the policy. `routes` holds one entry per element of PolicySettings::routes.
-  TimingPolicy(const PolicySettings& settings, const std::vector<RouteStatistics>& routes)
-      : settings_(settings), routes_(routes) {}
+  // Both arguments must outlive the policy. `route_statistics` holds one entry per element of
+  // PolicySettings::routes.
+  TimingPolicy(const PolicySettings& settings, const std::vector<RouteStatistics>& route_statistics)
+      : settings_(settings), route_statistics_(route_statistics) {}
 
   // The time by which the gateway must send the final answer: shortly before the client times out or, on a
   // route where late responses have no value, shortly before the latency objective passes.
@@ -34,7 +35,7 @@
   Duration time_since_first_sent(const IncomingRequest& incoming) const;
 
   const PolicySettings& settings_;
-  const std::vector<RouteStatistics>& routes_;
+  const std::vector<RouteStatistics>& route_statistics_;
 };
 
 }  // namespace ironquay
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -17,17 +17,17 @@
 }  // namespace
 
 std::optional<WorkerId> WorkerSelector::select(const Request& request, Duration now) {
-  const std::size_t ready_count = registry_.ready().size();
+  const std::size_t ready_count = workers_.ready().size();
   if (ready_count == 0) return std::nullopt;
   for (int draw = 0; draw < kMaxDraws; ++draw) {
     // A repeat of an earlier attempt may be sent only to workers that discard it, and the subset may contain
     // none of them.
     const bool use_all_workers =
         draw >= kDrawsInSubset || retry_policy_.allowed_actions(request, now).repeated_attempt != nullptr;
-    const std::size_t candidates = use_all_workers ? ready_count : subset_.size(ready_count);
-    const std::size_t first = random_.below(candidates);
-    const std::size_t distance = 1 + random_.below(std::max<std::size_t>(1, candidates - 1));
-    const std::size_t second = (first + distance) % candidates;
+    const std::size_t candidate_count = use_all_workers ? ready_count : subset_.size(ready_count);
+    const std::size_t first = random_.below(candidate_count);
+    const std::size_t distance = 1 + random_.below(std::max<std::size_t>(1, candidate_count - 1));
+    const std::size_t second = (first + distance) % candidate_count;
     const bool first_usable = check_candidate(request, first, now);
     const bool second_usable = check_candidate(request, second, now);
     if (!first_usable && !second_usable) continue;
@@ -41,7 +41,7 @@
 }
 
 bool WorkerSelector::can_send_to(const Request& request, WorkerId id, Duration now) const {
-  const Worker& worker = registry_.at(id);
+  const Worker& worker = workers_.at(id);
   if (worker.status != WorkerStatus::ready) return false;
   if (!limiter_.may_send(worker, now) || !slow_start_.may_send(worker, now)) return false;
   const AllowedActions allowed = retry_policy_.allowed_actions(request, now);
@@ -51,30 +51,30 @@
 }
 
 bool WorkerSelector::check_candidate(const Request& request, std::size_t position, Duration now) {
-  const std::size_t ready_count = registry_.ready().size();
+  const std::size_t ready_count = workers_.ready().size();
   const WorkerId id = worker_at_position(position);
   // A retry uses a different worker than the previous attempt if more than one is ready.
   if (ready_count > 1 && !request.attempts.empty() && request.attempts.back().worker == id) return false;
   const bool in_subset = position < subset_.size(ready_count);
-  slow_start_.refill_budget(registry_.at(id), in_subset, slow_start_inputs(), now);
+  slow_start_.refill_budget(workers_.at(id), in_subset, slow_start_inputs(), now);
   return can_send_to(request, id, now);
 }
 
 double WorkerSelector::load_score(WorkerId id) const {
-  const Worker& worker = registry_.at(id);
+  const Worker& worker = workers_.at(id);
   const bool crosses_zone = settings_.cross_zone_cost > 0 && worker.zone != settings_.zone;
   const double attempts = worker.in_flight + 1 + (crosses_zone ? kCrossZoneAttempts : 0);
   return attempts * worker.relative_latency / worker.relative_capacity;
 }
 
 WorkerId WorkerSelector::worker_at_position(std::size_t position) const {
-  const std::size_t ready_count = registry_.ready().size();
-  return registry_.ready()[(subset_.offset(ready_count) + position) % ready_count];
+  const std::size_t ready_count = workers_.ready().size();
+  return workers_.ready()[(subset_.offset(ready_count) + position) % ready_count];
 }
 
 SlowStartInputs WorkerSelector::slow_start_inputs() const {
-  const std::size_t ready_count = registry_.ready().size();
-  return {subset_.send_rate(), subset_.size(ready_count), ready_count, registry_.warm_count()};
+  const std::size_t ready_count = workers_.ready().size();
+  return {subset_.send_rate(), subset_.size(ready_count), ready_count, workers_.warm_count()};
 }
 
 }  // namespace ironquay
--- a/src/policy/worker_selector.hpp
+++ b/src/policy/worker_selector.hpp
@@ -16,11 +16,11 @@
 
 class WorkerSelector {
  public:
-  WorkerSelector(const PolicySettings& settings, WorkerRegistry& registry, const WorkerSubset& subset,
+  WorkerSelector(const PolicySettings& settings, WorkerRegistry& workers, const WorkerSubset& subset,
                  const SlowStart& slow_start, const ConcurrencyLimiter& limiter,
                  const RetryPolicy& retry_policy, RandomSource& random)
       : settings_(settings),
-        registry_(registry),
+        workers_(workers),
         subset_(subset),
         slow_start_(slow_start),
         limiter_(limiter),
@@ -47,7 +47,7 @@
   SlowStartInputs slow_start_inputs() const;
 
   const PolicySettings& settings_;
-  WorkerRegistry& registry_;
+  WorkerRegistry& workers_;
   const WorkerSubset& subset_;
   const SlowStart& slow_start_;
   const ConcurrencyLimiter& limiter_;
--- a/src/policy/worker_subset.cpp
+++ b/src/policy/worker_subset.cpp
@@ -29,8 +29,8 @@
 }
 
 double WorkerSubset::initial_concurrency_limit(std::size_t ready_workers) const {
-  const auto subset = static_cast<double>(size(ready_workers));
-  return kInitialTotalLimit * std::max(static_cast<double>(ready_workers), subset) / subset /
+  const auto subset_size = static_cast<double>(size(ready_workers));
+  return kInitialTotalLimit * std::max(static_cast<double>(ready_workers), subset_size) / subset_size /
          settings_.gateway_count;
 }
 
--- a/test/policy/endpoint_list_test.cpp
+++ b/test/policy/endpoint_list_test.cpp
@@ -39,7 +39,7 @@
   CHECK(workers.size() == 0);
   for (Duration now = 0s; now < 60s; now += 1s) fixture.balancer.on_timer(now);
   CHECK(fixture.modules.quota().slices().empty());
-  CHECK_FALSE(fixture.quota.has_rebalances());
+  CHECK_FALSE(fixture.quota_access.has_rebalances());
 }
 
 TEST_CASE("the state of a restarted worker is reset, except for its attempts in flight") {
--- a/test/policy/quota_pool_test.cpp
+++ b/test/policy/quota_pool_test.cpp
@@ -46,7 +46,7 @@
   const double burst = slice.pooled_share * 60;
   const auto trimmed_units = [&](double total) {
     fixture.effects.counter_amounts.clear();
-    fixture.pool.reply_to_take("c", 4, total, 0, 20s);
+    fixture.pool_access.reply_to_take("c", 4, total, 0, 20s);
     return fixture.effects.counter_amounts.empty() ? 0 : fixture.effects.counter_amounts[0];
   };
   const double excess = trimmed_units(4);
@@ -63,7 +63,7 @@
   double min_amount = 0;  // the largest return has the most negative amount
   for (int total = 0; total < 2000; ++total) {
     fixture.slice(3).tokens = 9;
-    fixture.pool.reply_to_take("c", 4, total, 0, 0s);
+    fixture.pool_access.reply_to_take("c", 4, total, 0, 0s);
     if (!fixture.effects.counter_amounts.empty()) {
       min_amount = std::min(min_amount, fixture.effects.counter_amounts.back());
     }
@@ -76,7 +76,7 @@
 TEST_CASE("a take with an unknown total succeeds, but is returned if the pool is known to be exhausted") {
   Fixture announcer;
   announcer.slice(2).first_gateway = 2;
-  announcer.pool.reply_to_take("c", 4, kExhaustedTotal, 0, 0s);
+  announcer.pool_access.reply_to_take("c", 4, kExhaustedTotal, 0, 0s);
   const std::string message = announcer.effects.gossip.at(0).second;
   for (const bool exhausted : {false, true}) {
     Fixture fixture;
@@ -88,7 +88,7 @@
     fixture.balancer.on_counter_reply(0s, {fixture.effects.counter_name, Outcome::connection_lost, 0});
     CHECK(fixture.effects.actions == std::vector<std::string>{exhausted ? "reject 1" : "send 1 to 1"});
     CHECK(fixture.effects.counter_amounts.back() == Approx(exhausted ? -taken_units : taken_units));
-    CHECK(fixture.quota.counter().unavailable_until() <= 0s);
+    CHECK(fixture.quota_access.counter_health().unavailable_until() <= 0s);
   }
 }
 
@@ -102,7 +102,7 @@
   slice.demand_rate = 50;
   fixture.arrive(1, 4, 2);
   CHECK(fixture.effects.counter_amounts.back() > 50);
-  fixture.pool.reply_to_take("c", 54, kExhaustedTotal, 4, 0s);
+  fixture.pool_access.reply_to_take("c", 54, kExhaustedTotal, 4, 0s);
   slice.next_pool_call = 0s;
   fixture.arrive(2, 4, 2);
   CHECK(fixture.effects.counter_amounts.back() == Approx(4));
@@ -116,12 +116,12 @@
   QuotaSlice& slice = announcer.slice(2);
   slice.first_gateway = 2;
   slice.tokens = 0;
-  announcer.pool.reply_to_take("c", 4, kExhaustedTotal, 0, 0s);
+  announcer.pool_access.reply_to_take("c", 4, kExhaustedTotal, 0, 0s);
   REQUIRE(announcer.effects.gossip.size() == 1);
   CHECK(announcer.effects.gossip[0].first == 2);
   Fixture receiver;
   receiver.add_worker(1);
-  receiver.quota.counter().set_call_share_for_testing(1e-9);
+  receiver.quota_access.counter_health().set_call_share_for_testing(1e-9);
   receiver.slice(2).tokens = 0;
   receiver.balancer.on_gossip(0s, 1, "no number");
   receiver.arrive(1, 1, 2);
@@ -136,8 +136,8 @@
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(3);
   slice.tokens = 0;
-  fixture.quota.counter().set_call_share_for_testing(0.9);
-  fixture.pool.set_mean_request_units(400);
+  fixture.quota_access.counter_health().set_call_share_for_testing(0.9);
+  fixture.pool_access.set_mean_request_units(400);
   for (RequestId id = 1; fixture.effects.counter_amounts.empty() && id < 1000; ++id) {
     fixture.arrive(id, 4, 3, true);
     slice.tokens = 0;
@@ -153,7 +153,7 @@
     "retries are not") {
   Fixture fixture;
   for (WorkerId id = 1; id < 20; ++id) fixture.add_worker(id);
-  fixture.quota.counter().set_call_share_for_testing(1e-9);
+  fixture.quota_access.counter_health().set_call_share_for_testing(1e-9);
   fixture.slice(300).tokens = 0;
   for (RequestId id = 1; id < 8; ++id) fixture.arrive(id, 4, 300);
   const auto sent = std::count_if(fixture.effects.actions.begin(), fixture.effects.actions.end(),
@@ -169,10 +169,10 @@
     "replies in time") {
   Fixture fixture;
   fixture.slice(3);
-  CounterHealth& counter = fixture.quota.counter();
+  CounterHealth& counter = fixture.quota_access.counter_health();
   Duration now = 0s;
   const auto reply = [&](Duration elapsed, Outcome outcome) {
-    fixture.pool.add_pending_contribution("c:0", "c", now);
+    fixture.pool_access.add_pending_contribution("c:0", "c", now);
     fixture.balancer.on_counter_reply(now + elapsed, {"c:0", outcome, 0});
   };
   reply(40ms, Outcome::success);
--- a/test/policy/quota_slice_test.cpp
+++ b/test/policy/quota_slice_test.cpp
@@ -29,7 +29,7 @@
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(3);
   slice.tokens = 0;
-  fixture.quota.counter().record(Outcome::timed_out, 0s, 0s);
+  fixture.quota_access.counter_health().record(Outcome::timed_out, 0s, 0s);
   fixture.modules.quota().slices().refill(slice, 100ms);
   CHECK(slice.tokens == Approx(1));
 }
--- a/test/policy/support.hpp
+++ b/test/policy/support.hpp
@@ -69,7 +69,7 @@
 class QuotaAllocatorTestAccess {
  public:
   explicit QuotaAllocatorTestAccess(QuotaAllocator& quota) : quota_(quota) {}
-  CounterHealth& counter() { return quota_.counter_; }
+  CounterHealth& counter_health() { return quota_.counter_health_; }
   bool has_rebalances() const { return !quota_.rebalances_.empty(); }
 
  private:
@@ -86,7 +86,7 @@
   WorkerSelector& selector() { return balancer_.selector_; }
   AttemptObserver& observer() { return balancer_.observer_; }
   OverloadController& overload() { return balancer_.overload_; }
-  RouteStatistics& route(std::size_t index) { return balancer_.routes_[index]; }
+  RouteStatistics& route_statistics(std::size_t index) { return balancer_.route_statistics_[index]; }
   QuotaAllocator& quota() { return balancer_.quota_; }
   void set_timer(Duration when) { balancer_.timer_ = when; }
 
@@ -133,14 +133,14 @@
   explicit Fixture(PolicySettings settings = default_settings())
       : balancer(std::move(settings), 1, 0s, effects),
         modules(balancer),
-        quota(modules.quota()),
-        pool(modules.quota().pool()) {}
+        quota_access(modules.quota()),
+        pool_access(modules.quota().pool()) {}
 
   RecordingEffects effects;
   LoadBalancer balancer;
   LoadBalancerTestAccess modules;
-  QuotaAllocatorTestAccess quota;
-  QuotaPoolTestAccess pool;
+  QuotaAllocatorTestAccess quota_access;
+  QuotaPoolTestAccess pool_access;
 
   // Adds a worker through an endpoint list and sets its concurrency limit to 4.
   Worker& add_worker(WorkerId id, WorkerStatus status = WorkerStatus::ready, Duration started_at = 0s) {
--- a/test/policy/worker_health_test.cpp
+++ b/test/policy/worker_health_test.cpp
@@ -27,8 +27,8 @@
   Worker& lossy_worker = lossy.add_worker(1);
   Worker& overloaded_worker = overloaded.add_worker(1);
   const Request& request = lossy.add_request(1, 0);
-  lossy.modules.route(0).set_mean_units_for_testing(1);
-  overloaded.modules.route(0).set_mean_units_for_testing(1);
+  lossy.modules.route_statistics(0).set_mean_units_for_testing(1);
+  overloaded.modules.route_statistics(0).set_mean_units_for_testing(1);
   for (int i = 0; i < 300; ++i) {
     const Outcome outcome = i % 3 == 0 ? Outcome::timed_out : Outcome::success;
     lossy.modules.observer().record(lossy_worker, request, outcome, 50ms, 800ms);
@@ -58,7 +58,7 @@
 TEST_CASE("the longer latency of a request with more units does not lower the concurrency limit") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
-  fixture.modules.route(0).set_mean_units_for_testing(1);
+  fixture.modules.route_statistics(0).set_mean_units_for_testing(1);
   Request& request = fixture.add_request(1, 0);
   request.units = 4;
   fixture.modules.observer().record(worker, request, Outcome::success, 800ms, 800ms);
