--- a/src/lab/cli/load_command.cpp
+++ b/src/lab/cli/load_command.cpp
@@ -48,7 +48,7 @@
   std::string file_;
   std::vector<std::string> targets_;
   double seconds_ = 10;
-  LoadPlan plan_;
+  LoadOptions plan_;
 };
 
 }  // namespace
--- a/src/lab/emulator/client_population.cpp
+++ b/src/lab/emulator/client_population.cpp
@@ -82,52 +82,52 @@
   const double mean_interval = 1 / (customer.request_rate * max_factor);
   events_.schedule_in(from_seconds(arrivals_.exponential(mean_interval)), [this, customer_index, max_factor] {
     if (events_.now() > scenario_.length) return;
-    const Session session = draw_session(customer_index);
+    const LogicalRequest request = draw_request(customer_index);
     const double burst_factor = current_burst_factor(customer_at(customer_index).plan);
-    if (arrivals_.chance(burst_factor / max_factor)) start_session(session);
+    if (arrivals_.chance(burst_factor / max_factor)) start_request(request);
     schedule_arrival(customer_index);
   });
 }
 
 // Draws the route and the units of a customer's next request.
-ClientPopulation::Session ClientPopulation::draw_session(int customer) {
-  Session session;
-  session.customer = customer;
-  session.route =
+ClientPopulation::LogicalRequest ClientPopulation::draw_request(int customer) {
+  LogicalRequest request;
+  request.customer = customer;
+  request.route =
       arrivals_.weighted_index(scenario_.routes, [](const RouteTraffic& route) { return route.weight; });
   const auto max_units = static_cast<std::size_t>(scenario_.policy_settings.max_units);
-  session.units = 1 + static_cast<double>(arrivals_.below(max_units));
-  session.started_at = events_.now();
-  session.remaining_retries = scenario_.clients.max_retries;
-  return session;
+  request.units = 1 + static_cast<double>(arrivals_.below(max_units));
+  request.started_at = events_.now();
+  request.remaining_retries = scenario_.clients.max_retries;
+  return request;
 }
 
-RequestSample ClientPopulation::sample(const Session& session) const {
-  const std::size_t plan = customers_[static_cast<std::size_t>(session.customer)].plan;
-  return {plan, session.route, route_of(session).priority_weight * session.units, session.within_quota};
+RequestSample ClientPopulation::sample(const LogicalRequest& request) const {
+  const std::size_t plan = customers_[static_cast<std::size_t>(request.customer)].plan;
+  return {plan, request.route, route_of(request).priority_weight * request.units, request.within_quota};
 }
 
-// A customer sends a new request.
-void ClientPopulation::start_session(Session session) {
-  Customer& customer = customer_at(session.customer);
-  customer.units_requested += session.units;
+// Starts a new request of a customer.
+void ClientPopulation::start_request(LogicalRequest request) {
+  Customer& customer = customer_at(request.customer);
+  customer.units_requested += request.units;
   customer.requested_bucket.refill(events_.now());
-  session.within_quota = customer.requested_bucket.try_take(session.units);
-  statistics_.on_request(events_.now(), sample(session));
-  send(session);
+  request.within_quota = customer.requested_bucket.try_take(request.units);
+  statistics_.on_request(events_.now(), sample(request));
+  send(request);
 }
 
 // Sends the request, for the first time or as a retry. The request fails if the client would time out before
 // a response could arrive.
-void ClientPopulation::send(const Session& session) {
+void ClientPopulation::send(const LogicalRequest& request) {
   const Duration latency = scenario_.network.one_way_latency;
-  const Duration remaining_time = session.started_at + route_of(session).client_timeout - events_.now();
-  EmulatedGateway* gateway = choose_gateway(customer_at(session.customer));
+  const Duration remaining_time = request.started_at + route_of(request).client_timeout - events_.now();
+  EmulatedGateway* gateway = choose_gateway(customer_at(request.customer));
   const RequestId id = ++last_request_id_;
-  if (!gateway) return finish_session(session, RequestOutcome::lost);
-  if (remaining_time <= 2 * latency) return finish_session(session, RequestOutcome::failed);
-  events_.schedule_in(latency, [this, session, id, gateway, remaining_time] {
-    deliver(session, id, *gateway, remaining_time);
+  if (!gateway) return finish_request(request, RequestOutcome::lost);
+  if (remaining_time <= 2 * latency) return finish_request(request, RequestOutcome::failed);
+  events_.schedule_in(latency, [this, request, id, gateway, remaining_time] {
+    deliver(request, id, *gateway, remaining_time);
   });
 }
 
@@ -147,34 +147,36 @@
 }
 
 // The request arrives at the gateway.
-void ClientPopulation::deliver(const Session& session, RequestId id, EmulatedGateway& gateway,
+void ClientPopulation::deliver(const LogicalRequest& request, RequestId id, EmulatedGateway& gateway,
                                Duration remaining_time) {
-  if (!gateway.is_running()) return on_response(session, {ResponseKind::disconnected, Duration(0)});
-  const Customer& customer = customer_at(session.customer);
-  ClientRequest request;
-  request.id = id;
-  request.customer = session.customer;
-  request.customer_name = customer.name;
-  request.route = session.route;
-  request.plan = customer.plan;
-  request.units = session.units;
-  request.first_gateway = customer.first_gateway;
-  request.gateway_spread = customer.gateway_spread;
-  request.remaining_time = remaining_time - scenario_.network.one_way_latency;
-  request.is_retry = session.remaining_retries < scenario_.clients.max_retries;
-  request.on_forwarded = [this, session] { on_forwarded(session.customer, session.units); };
-  request.on_response = [this, session](const GatewayResponse& response) { on_response(session, response); };
+  if (!gateway.is_running()) return on_response(request, {ResponseKind::disconnected, Duration(0)});
+  const Customer& customer = customer_at(request.customer);
+  ClientRequest client_request;
+  client_request.id = id;
+  client_request.customer = request.customer;
+  client_request.customer_name = customer.name;
+  client_request.route = request.route;
+  client_request.plan = customer.plan;
+  client_request.units = request.units;
+  client_request.first_gateway = customer.first_gateway;
+  client_request.gateway_spread = customer.gateway_spread;
+  client_request.remaining_time = remaining_time - scenario_.network.one_way_latency;
+  client_request.is_retry = request.remaining_retries < scenario_.clients.max_retries;
+  client_request.on_forwarded = [this, request] { on_forwarded(request.customer, request.units); };
+  client_request.on_response = [this, request](const GatewayResponse& response) {
+    on_response(request, response);
+  };
   if (choices_.chance(scenario_.clients.abandon_probability))
-    schedule_disconnect(session, id, gateway, remaining_time);
-  gateway.receive_request(std::move(request));
+    schedule_disconnect(request, id, gateway, remaining_time);
+  gateway.receive_request(std::move(client_request));
 }
 
 // Schedules a disconnection of the client at a random time within `remaining_time`.
-void ClientPopulation::schedule_disconnect(const Session& session, RequestId id, EmulatedGateway& gateway,
-                                           Duration remaining_time) {
+void ClientPopulation::schedule_disconnect(const LogicalRequest& request, RequestId id,
+                                           EmulatedGateway& gateway, Duration remaining_time) {
   const Duration delay = from_seconds(to_seconds(remaining_time) * choices_.uniform());
-  events_.schedule_in(delay, [this, session, id, &gateway] {
-    if (gateway.disconnect_client(id)) finish_session(session, RequestOutcome::failed);
+  events_.schedule_in(delay, [this, request, id, &gateway] {
+    if (gateway.disconnect_client(id)) finish_request(request, RequestOutcome::failed);
   });
 }
 
@@ -187,21 +189,21 @@
   statistics_.on_forwarded(events_.now(), units, customer.is_heavy, within_quota);
 }
 
-// The client receives the response to its request and either retries the request or ends its session.
-void ClientPopulation::on_response(Session session, const GatewayResponse& response) {
-  const Route& route = route_of(session);
-  if (session.remaining_retries == 0 || !should_retry(response, route))
-    return finish_session(session, outcome_of(response, events_.now() - session.started_at, route));
-  --session.remaining_retries;
+// The client receives a response and either retries the request or finishes it.
+void ClientPopulation::on_response(LogicalRequest request, const GatewayResponse& response) {
+  const Route& route = route_of(request);
+  if (request.remaining_retries == 0 || !should_retry(response, route))
+    return finish_request(request, outcome_of(response, events_.now() - request.started_at, route));
+  --request.remaining_retries;
   const bool honours_retry_after =
       response.retry_after > Duration(0) && choices_.chance(scenario_.clients.honours_retry_after);
   const Duration delay =
       honours_retry_after ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
-  events_.schedule_in(delay, [this, session] { send(session); });
+  events_.schedule_in(delay, [this, request] { send(request); });
 }
 
-void ClientPopulation::finish_session(const Session& session, RequestOutcome outcome) {
-  statistics_.on_request_end(events_.now(), sample(session), outcome, events_.now() - session.started_at);
+void ClientPopulation::finish_request(const LogicalRequest& request, RequestOutcome outcome) {
+  statistics_.on_request_end(events_.now(), sample(request), outcome, events_.now() - request.started_at);
 }
 
 // Draws a new preferred gateway for every customer and schedules the next rotation.
--- a/src/lab/emulator/client_population.hpp
+++ b/src/lab/emulator/client_population.hpp
@@ -24,8 +24,9 @@
   const std::vector<Customer>& customers() const { return customers_; }
 
  private:
-  // One request of a client, together with its retries.
-  struct Session {
+  // One request of a client, together with its retries. Each time the client sends it, a gateway receives a
+  // new ClientRequest.
+  struct LogicalRequest {
     int customer = 0;       // index into customers_
     std::size_t route = 0;  // index into Scenario::routes
     double units = 0;
@@ -35,22 +36,23 @@
   };
 
   Customer& customer_at(int index) { return customers_[static_cast<std::size_t>(index)]; }
-  const Route& route_of(const Session& session) const {
-    return scenario_.policy_settings.routes[session.route];
+  const Route& route_of(const LogicalRequest& request) const {
+    return scenario_.policy_settings.routes[request.route];
   }
-  RequestSample sample(const Session& session) const;
+  RequestSample sample(const LogicalRequest& request) const;
   double current_burst_factor(std::size_t plan) const;
   void schedule_arrival(int customer_index);
-  Session draw_session(int customer);
-  void start_session(Session session);
-  void send(const Session& session);
+  LogicalRequest draw_request(int customer);
+  void start_request(LogicalRequest request);
+  void send(const LogicalRequest& request);
   EmulatedGateway* choose_gateway(const Customer& customer);
-  void deliver(const Session& session, RequestId id, EmulatedGateway& gateway, Duration remaining_time);
-  void schedule_disconnect(const Session& session, RequestId id, EmulatedGateway& gateway,
+  void deliver(const LogicalRequest& request, RequestId id, EmulatedGateway& gateway,
+               Duration remaining_time);
+  void schedule_disconnect(const LogicalRequest& request, RequestId id, EmulatedGateway& gateway,
                            Duration remaining_time);
   void on_forwarded(int customer_index, double units);
-  void on_response(Session session, const GatewayResponse& response);
-  void finish_session(const Session& session, RequestOutcome outcome);
+  void on_response(LogicalRequest request, const GatewayResponse& response);
+  void finish_request(const LogicalRequest& request, RequestOutcome outcome);
   void rotate_preferred_gateways();
 
   EventQueue& events_;
@@ -60,7 +62,7 @@
   GatewayFleet& gateways_;
   TrafficStatistics& statistics_;
   std::vector<Customer> customers_;        // never resized: requests hold views of the customers' names
-  std::vector<double> max_burst_factors_;  // by plan
+  std::vector<double> max_burst_factors_;  // highest burst factor of each plan
   RequestId last_request_id_ = 0;
 };
 
--- a/src/lab/emulator/emulated_discovery.hpp
+++ b/src/lab/emulator/emulated_discovery.hpp
@@ -17,14 +17,17 @@
 
   // Sends the status of a worker to all gateways. `started_at` is when the worker started.
   void publish(int worker, WorkerStatus status, Duration started_at);
-  // Delays the updates that are published from now on to this gateway until `length` has passed.
+  // Holds back the updates that are published to this gateway within the next `length`, and sends them when
+  // that time has passed.
   void suspend_updates(int gateway, Duration length);
 
  private:
   // The state of one gateway's watch.
   struct Watch {
-    Duration last_delivery{0};    // when the last published update arrives; later ones do not overtake it
-    Duration suspended_until{0};  // updates published before this time are sent at this time
+    // Arrival time of the last published update. Later updates do not arrive before it.
+    Duration last_delivery{0};
+    // Updates that are published before this time are sent at this time.
+    Duration suspended_until{0};
   };
 
   EventQueue& events_;
--- a/src/lab/emulator/emulated_gateway.cpp
+++ b/src/lab/emulator/emulated_gateway.cpp
@@ -38,7 +38,7 @@
 void EmulatedGateway::crash() {
   ++incarnation_;
   policy_.reset();
-  environment_.invariants.on_gateway_restart(index_);
+  environment_.invariants.on_gateway_crash(index_);
   for (const auto& [id, attempts] : attempts_)
     for (const Attempt& attempt : attempts) attempt.job->cancelled = true;
   attempts_.clear();
@@ -51,16 +51,16 @@
   }
 }
 
-void EmulatedGateway::receive_request(ClientRequest received) {
-  const ClientRequest& request = requests_[received.id] = std::move(received);
-  AcceptedRequest accepted;
-  accepted.id = request.id;
-  accepted.route = request.route;
-  accepted.plan = request.plan;
-  accepted.customer = request.customer;
-  accepted.units = request.units;
-  accepted.client_timeout = request.remaining_time;
-  environment_.invariants.on_request_accepted(now(), accepted);
+void EmulatedGateway::receive_request(ClientRequest client_request) {
+  const ClientRequest& request = requests_[client_request.id] = std::move(client_request);
+  ReceivedRequest received;
+  received.id = request.id;
+  received.route = request.route;
+  received.plan = request.plan;
+  received.customer = request.customer;
+  received.units = request.units;
+  received.client_timeout = request.remaining_time;
+  environment_.invariants.on_request_received(now(), received);
   IncomingRequest incoming;
   incoming.id = request.id;
   incoming.customer = request.customer_name;
@@ -95,7 +95,7 @@
 }
 
 void EmulatedGateway::notify_policy_of_endpoint(int worker, const StoredEndpoint& endpoint) {
-  environment_.invariants.on_endpoint_notified(now(), index_, worker, endpoint.status);
+  environment_.invariants.on_endpoint_update(now(), index_, worker, endpoint.status);
   EndpointUpdate update;
   update.worker = to_worker_id(worker);
   update.status = endpoint.status;
@@ -119,8 +119,8 @@
   environment_.invariants.on_attempt_sent(now(), id, index_, worker, environment_.workers.cell_of(worker));
   environment_.statistics.on_attempt();
   if (request_found && attempts.empty()) request->second.on_forwarded();
-  // A faulty policy may send an attempt of a request that has ended. The invariant checker has reported that
-  // above, so any route and size will do.
+  // A faulty policy may send an attempt for a request that has already ended. The invariant checker has
+  // reported that above, so the route and the size of such an attempt do not matter.
   const std::size_t route = request_found ? request->second.route : 0;
   const double size = request_found ? request->second.units / environment_.scenario.mean_units() : 1;
   const auto on_result = in_current_incarnation(
--- a/src/lab/emulator/emulated_gateway.hpp
+++ b/src/lab/emulator/emulated_gateway.hpp
@@ -25,8 +25,8 @@
 // How a gateway responds to a client's request.
 enum class ResponseKind {
   served,
-  rejected,      // promises that sending the request again is harmless
-  failed,        // promises nothing: the request may have been executed
+  rejected,      // tells the client that it may safely send the request again
+  failed,        // tells the client that the request may have been executed
   disconnected,  // the gateway has crashed
 };
 struct GatewayResponse {
@@ -42,7 +42,8 @@
   std::size_t route = 0;  // index into PolicySettings::routes
   std::size_t plan = 0;   // index into PolicySettings::plans
   double units = 0;
-  // The customer uses `gateway_spread` consecutively numbered gateways, starting with `first_gateway`.
+  // The customer uses `gateway_spread` consecutively numbered gateways, starting with `first_gateway` and
+  // wrapping around after the last gateway.
   int first_gateway = 0;
   int gateway_spread = 1;
   Duration remaining_time{0};  // time until the client times out
@@ -77,7 +78,7 @@
   bool is_running() const { return policy_ != nullptr; }
 
   // Receives a request from a client. The gateway must be running.
-  void receive_request(ClientRequest received);
+  void receive_request(ClientRequest client_request);
   // Handles the disconnection of the client that sent this request. Returns false if the gateway is not
   // running or the request has already ended.
   bool disconnect_client(RequestId id);
--- a/src/lab/emulator/emulated_workers.cpp
+++ b/src/lab/emulator/emulated_workers.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 
-// While a worker hangs, the end of each of its jobs is postponed by this interval, until the worker has
+// A job that would end while its worker hangs is checked again at this interval until the worker has
 // recovered.
-constexpr Duration kHangRetryInterval = 100ms;
+constexpr Duration kHangCheckInterval = 100ms;
 // Lower bound of a slowdown factor. With a factor of 0, jobs would take no simulated time.
 constexpr double kMinSlowdown = 1e-3;
 // Lower bound of the start time of a worker that starts during the run. A start time of 0 means that the
@@ -86,11 +86,11 @@
   return capacity_share(contract, progress);
 }
 
-// The work of a job is done. Ignored if the process that executed the job has ended.
+// Ends a job whose work is done. Does nothing if the process that executed the job has ended.
 void EmulatedWorkers::finish(const Execution& execution) {
   Worker& worker = at(execution.worker);
   if (worker.incarnation != execution.incarnation) return;
-  if (worker.hung) return events_.schedule_in(kHangRetryInterval, [this, execution] { finish(execution); });
+  if (worker.hung) return events_.schedule_in(kHangCheckInterval, [this, execution] { finish(execution); });
   const auto found = worker.executing.find(execution.sequence);
   const JobPointer job = found->second;
   worker.executing.erase(found);
--- a/src/lab/emulator/emulation.cpp
+++ b/src/lab/emulator/emulation.cpp
@@ -65,7 +65,7 @@
   }
 
  private:
-  // All requests have ended by then: the last ones start at the scenario's length.
+  // Returns a time at which all requests have ended. The last requests start at the scenario's length.
   Duration end_time() const {
     Duration max_timeout(0);
     for (const Route& route : scenario_.policy_settings.routes)
--- a/src/lab/emulator/emulation_figures.cpp
+++ b/src/lab/emulator/emulation_figures.cpp
@@ -13,7 +13,7 @@
 using Json = nlohmann::ordered_json;
 
 constexpr double kMillisecondsPerSecond = 1000;
-// Core seconds. Lower bound of a divisor, which avoids 0/0 if no work was done.
+// Lower bound of a divisor, in core seconds. It avoids a division by zero if no work was done.
 constexpr double kMinWork = 1e-9;
 
 Json to_json(const RequestTotals& totals) {
--- a/src/lab/emulator/invariant_checker.cpp
+++ b/src/lab/emulator/invariant_checker.cpp
@@ -15,7 +15,7 @@
 // Units by which a customer may exceed its ceiling, because rounding errors accumulate.
 constexpr double kUnitTolerance = 1e-6;
 // Arrivals at a worker vary like a Poisson process. The allowed number of arrivals is the expected number,
-// plus this many standard deviations, plus a constant number of arrivals for workers that expect few.
+// plus this many standard deviations, plus a constant, which matters if the expected number is small.
 constexpr double kArrivalDeviations = 3;
 constexpr double kExtraArrivals = 3;
 
@@ -29,7 +29,7 @@
 constexpr char kExecutedAgain[] = "no effect twice: sent again though it may have run";
 constexpr char kSentOutsideDedupScope[] = "no effect twice: sent where its repeat is not known";
 constexpr char kSentToDraining[] = "drains kept: sent to a worker that drains or is gone";
-constexpr char kStartingWorkerOverloaded[] = "cold workers not pushed over: one fell";
+constexpr char kWarmingUpWorkerOverloaded[] = "cold workers not pushed over: one fell";
 constexpr char kCeilingExceeded[] = "ceilings kept: passed";
 
 }  // namespace
@@ -39,13 +39,13 @@
   if (!violation_) violation_ = InvariantViolation{now, rule, id, worker};
 }
 
-// The request if it is still to receive its response, otherwise null.
+// Returns the request if it has not received its response yet, otherwise null.
 InvariantChecker::OpenRequest* InvariantChecker::find_pending(RequestId id) {
   const auto found = requests_.find(id);
   return found != requests_.end() && found->second.response_pending ? &found->second : nullptr;
 }
 
-void InvariantChecker::on_request_accepted(Duration now, const AcceptedRequest& request) {
+void InvariantChecker::on_request_received(Duration now, const ReceivedRequest& request) {
   const Duration deadline = now + request.client_timeout;
   deadlines_.emplace(deadline, request.id);
   requests_[request.id] = {request.route, request.plan, request.customer, request.units, deadline, {}, true};
@@ -109,14 +109,14 @@
   if (ceiling.tokens() < -kUnitTolerance) report(now, kCeilingExceeded, id, worker);
 }
 
-void InvariantChecker::on_attempt_end(RequestId id, std::size_t attempt, bool may_have_executed) {
+void InvariantChecker::on_attempt_end(RequestId id, std::size_t attempt_index, bool may_have_executed) {
   const auto found = requests_.find(id);
-  if (found == requests_.end() || attempt >= found->second.attempts.size()) return;
-  found->second.attempts[attempt].in_flight = false;
-  found->second.attempts[attempt].may_have_executed = may_have_executed;
+  if (found == requests_.end() || attempt_index >= found->second.attempts.size()) return;
+  found->second.attempts[attempt_index].in_flight = false;
+  found->second.attempts[attempt_index].may_have_executed = may_have_executed;
 }
 
-void InvariantChecker::on_endpoint_notified(Duration now, int gateway, int worker, WorkerStatus status) {
+void InvariantChecker::on_endpoint_update(Duration now, int gateway, int worker, WorkerStatus status) {
   if (status == WorkerStatus::ready) {
     unavailable_since_.erase({gateway, worker});
   } else {
@@ -124,26 +124,26 @@
   }
 }
 
-void InvariantChecker::on_gateway_restart(int gateway) {
+void InvariantChecker::on_gateway_crash(int gateway) {
   std::erase_if(unavailable_since_, [&](const auto& entry) { return entry.first.gateway == gateway; });
 }
 
-void InvariantChecker::on_worker_start(Duration now, int worker) { starting_workers_[worker] = {now, {}}; }
+void InvariantChecker::on_worker_start(Duration now, int worker) { warming_up_workers_[worker] = {now, {}}; }
 
 void InvariantChecker::on_worker_arrival(Duration now, int worker) {
-  const auto found = starting_workers_.find(worker);
-  if (found == starting_workers_.end()) return;
-  StartingWorker& starting_worker = found->second;
+  const auto found = warming_up_workers_.find(worker);
+  if (found == warming_up_workers_.end()) return;
+  WarmingUpWorker& warming_up_worker = found->second;
   const ContractSettings& contract = scenario_.policy_settings.contract;
-  const double progress = warm_up_progress(contract, now - starting_worker.started_at);
-  if (progress >= 1) return void(starting_workers_.erase(found));
-  starting_worker.recent_arrivals.push_back(now);
-  while (starting_worker.recent_arrivals.front() + contract.overload_window < now)
-    starting_worker.recent_arrivals.pop_front();
-  const auto arrivals = static_cast<double>(starting_worker.recent_arrivals.size());
+  const double progress = warm_up_progress(contract, now - warming_up_worker.started_at);
+  if (progress >= 1) return void(warming_up_workers_.erase(found));
+  warming_up_worker.recent_arrivals.push_back(now);
+  while (warming_up_worker.recent_arrivals.front() + contract.overload_window < now)
+    warming_up_worker.recent_arrivals.pop_front();
+  const auto arrivals = static_cast<double>(warming_up_worker.recent_arrivals.size());
   const double allowed = allowed_arrivals(progress);
   peak_slow_start_load_ = std::max(peak_slow_start_load_, arrivals / allowed);
-  if (arrivals > allowed) report(now, kStartingWorkerOverloaded, 0, worker);
+  if (arrivals > allowed) report(now, kWarmingUpWorkerOverloaded, 0, worker);
 }
 
 // The number of attempts that may arrive at a warming-up worker within one overload window, at this progress
@@ -163,8 +163,8 @@
   return expected_arrivals + kArrivalDeviations * std::sqrt(expected_arrivals) + kExtraArrivals;
 }
 
-// Removes the requests whose deadlines have passed. They need no record, because any later response or
-// attempt is a violation.
+// Removes the requests whose deadlines have passed. The checker needs no record of them: it reports any later
+// response or attempt as a violation because it does not find the request.
 void InvariantChecker::check_deadlines(Duration now) {
   while (!deadlines_.empty() && now > deadlines_.begin()->first + kDeadlineTolerance) {
     const auto found = requests_.find(deadlines_.begin()->second);
--- a/src/lab/emulator/invariant_checker.hpp
+++ b/src/lab/emulator/invariant_checker.hpp
@@ -1,5 +1,4 @@
-// Checks the five guarantees that gateways give, using only what can be observed from outside of the
-// gateways.
+// Checks five guarantees of the gateways. It uses only what can be observed from outside of the gateways.
 //
 // - One final answer: every request receives exactly one response, before its client times out.
 // - No duplicate effect: a request that may have been executed is not executed again, unless its route is
@@ -31,7 +30,7 @@
 
 // The properties of a request that the invariants depend on. The identifier is unique over all gateways.
 // Every client retry is a request of its own.
-struct AcceptedRequest {
+struct ReceivedRequest {
   RequestId id = 0;
   std::size_t route = 0;  // index into PolicySettings::routes
   std::size_t plan = 0;   // index into PolicySettings::plans
@@ -46,20 +45,20 @@
   explicit InvariantChecker(const Scenario& scenario) : scenario_(scenario) {}
 
   // A gateway has received a request.
-  void on_request_accepted(Duration now, const AcceptedRequest& request);
-  // A gateway has responded to a request. A response that is `rejected` promises that sending the request
-  // again is harmless.
+  void on_request_received(Duration now, const ReceivedRequest& request);
+  // A gateway has responded to a request. A `rejected` response tells the client that it may safely send the
+  // request again.
   void on_response(Duration now, RequestId id, bool rejected);
   // The gateway has crashed or the client has disconnected, so that the request no longer needs a response.
   void on_request_dropped(RequestId id);
   // A gateway has sent an attempt to a worker of this cell.
   void on_attempt_sent(Duration now, RequestId id, int gateway, int worker, int cell);
-  // An attempt has ended. `attempt` is its index among the attempts of the request.
-  void on_attempt_end(RequestId id, std::size_t attempt, bool may_have_executed);
-  // A gateway has been notified of a worker's status.
-  void on_endpoint_notified(Duration now, int gateway, int worker, WorkerStatus status);
-  // The gateway has lost what it knew about endpoints.
-  void on_gateway_restart(int gateway);
+  // An attempt has ended. `attempt_index` is its index among the attempts of the request.
+  void on_attempt_end(RequestId id, std::size_t attempt_index, bool may_have_executed);
+  // A gateway has received the status of a worker.
+  void on_endpoint_update(Duration now, int gateway, int worker, WorkerStatus status);
+  // A gateway has crashed. It no longer knows which workers are draining or gone.
+  void on_gateway_crash(int gateway);
   // A worker has started and is warming up.
   void on_worker_start(Duration now, int worker);
   // An attempt has arrived at a running worker.
@@ -89,7 +88,7 @@
     std::vector<Attempt> attempts;
     bool response_pending = true;
   };
-  struct StartingWorker {
+  struct WarmingUpWorker {
     Duration started_at{0};
     std::deque<Duration> recent_arrivals;  // times of the arrivals within the last overload window
   };
@@ -115,9 +114,9 @@
   const Scenario& scenario_;
   std::map<RequestId, OpenRequest> requests_;
   std::multimap<Duration, RequestId> deadlines_;
-  std::map<Endpoint, Duration> unavailable_since_;  // when the gateway was notified: draining or gone
-  std::map<int, StartingWorker> starting_workers_;  // workers that are warming up, by index
-  std::map<int, TokenBucket> ceilings_;             // by customer
+  std::map<Endpoint, Duration> unavailable_since_;  // when the gateway received the status draining or gone
+  std::map<int, WarmingUpWorker> warming_up_workers_;  // by worker index
+  std::map<int, TokenBucket> ceilings_;                // by customer index
   std::optional<InvariantViolation> violation_;
   double peak_slow_start_load_ = 0;
 };
--- a/src/lab/emulator/policy_under_test.hpp
+++ b/src/lab/emulator/policy_under_test.hpp
@@ -1,5 +1,4 @@
-// The interface through which an emulated gateway drives its policy: the real load balancer, or a test
-// double.
+// The interface between an emulated gateway and its policy, which is the real load balancer or a test double.
 #pragma once
 #include <cstdint>
 #include <functional>
--- a/src/lab/emulator/slow_start.hpp
+++ b/src/lab/emulator/slow_start.hpp
@@ -10,7 +10,7 @@
 // The fraction of the slow start window that has passed for a worker that started `age` ago. The worker has
 // its full capacity when the result is 1 or more.
 inline double warm_up_progress(const ContractSettings& contract, Duration age) {
-  constexpr double kMinWindowSeconds = 1e-3;  // avoids a division by zero without a slow start window
+  constexpr double kMinWindowSeconds = 1e-3;  // avoids a division by zero if the window is zero
   return to_seconds(age) / std::max(kMinWindowSeconds, to_seconds(contract.slow_start_window));
 }
 
--- a/src/lab/emulator/token_bucket.hpp
+++ b/src/lab/emulator/token_bucket.hpp
@@ -20,15 +20,16 @@
     tokens_ = std::min(capacity_, tokens_ + rate_ * to_seconds(now - refilled_at_));
     refilled_at_ = now;
   }
-  // Takes all of the tokens if the bucket holds that many, otherwise none. Does not refill the bucket.
+  // Takes `tokens` tokens and returns true if the bucket holds that many. Otherwise takes none and returns
+  // false. Does not refill the bucket.
   bool try_take(double tokens) {
     if (tokens_ < tokens) return false;
     tokens_ -= tokens;
     return true;
   }
-  // Takes the tokens even if the balance becomes negative. Does not refill the bucket.
+  // Takes `tokens` tokens even if the number in the bucket becomes negative. Does not refill the bucket.
   void take(double tokens) { tokens_ -= tokens; }
-  // The balance at the last refill or take; negative if more was taken than the bucket held.
+  // The number of tokens after the last refill or take; negative if more was taken than the bucket held.
   double tokens() const { return tokens_; }
 
  private:
--- a/src/lab/emulator/traffic_statistics.hpp
+++ b/src/lab/emulator/traffic_statistics.hpp
@@ -47,8 +47,8 @@
 
 // The properties of a request that the statistics depend on.
 struct RequestSample {
-  std::size_t plan = 0;
-  std::size_t route = 0;
+  std::size_t plan = 0;       // index into Scenario::plans
+  std::size_t route = 0;      // index into Scenario::routes
   double value = 0;           // priority weight times units
   bool within_quota = false;  // whether the customer's quota covered the request when it first arrived
 };
--- a/src/lab/loadgen/load_connection.hpp
+++ b/src/lab/loadgen/load_connection.hpp
@@ -12,8 +12,8 @@
 
 namespace ironquay::lab {
 
-// Carries one request at a time. A new connection accepts a request immediately, and the next ones after
-// Listener::on_idle().
+// Carries one request at a time. The first request may be sent immediately after the construction, and each
+// further one after Listener::on_idle().
 class LoadConnection : public net::EventLoop::Handler {
  public:
   class Listener {
--- a/src/lab/loadgen/load_generator.cpp
+++ b/src/lab/loadgen/load_generator.cpp
@@ -15,13 +15,13 @@
 using namespace std::chrono_literals;
 using Json = nlohmann::ordered_json;
 
-// Limit for the connections to all gateways together, above the number that a gateway accepts from clients. A
-// request is lost if the limit is reached and no connection to its gateway is idle.
+// The maximum number of connections to all gateways together. It is above the number that one gateway accepts
+// from clients. A request is lost if the maximum is reached and no connection to its gateway is idle.
 constexpr std::size_t kMaxConnections = 400;
 // A request that is sent more than this after its scheduled time shows that the generator itself is too slow.
 // The event loop's timers have a granularity of 1 ms, so smaller delays are normal.
 constexpr Duration kLateSendThreshold = 10ms;
-// Interval between checks whether the run has ended or a stop was requested.
+// Interval between checks of whether the run has ended or a stop was requested.
 constexpr Duration kEndCheckInterval = 100ms;
 
 double to_milliseconds(Duration duration) {
@@ -30,14 +30,14 @@
 
 class LoadGenerator : public LoadConnection::Listener {
  public:
-  LoadGenerator(net::EventLoop& loop, const Scenario& scenario, const LoadPlan& plan,
+  LoadGenerator(net::EventLoop& loop, const Scenario& scenario, const LoadOptions& options,
                 const std::atomic<bool>& stop)
       : loop_(loop),
         scenario_(scenario),
-        plan_(plan),
+        options_(options),
         stop_(stop),
-        requests_(scenario, plan.seed, plan.targets.size()),
-        idle_connections_(plan.targets.size()),
+        requests_(scenario, options.seed, options.targets.size()),
+        idle_connections_(options.targets.size()),
         by_route_(scenario.routes.size()),
         by_plan_(scenario.plans.size()),
         next_request_timer_(loop, [this] { send_due_requests(); }),
@@ -79,8 +79,9 @@
   void send_due_requests() {
     while (next_scheduled_at_ <= loop_.now() && !stop_) {
       send_request();
-      next_scheduled_at_ += requests_.next_interval(plan_.rate);
-      if (next_scheduled_at_ - started_at_ > plan_.length || requests_sent_ >= plan_.max_requests) return;
+      next_scheduled_at_ += requests_.next_interval(options_.rate);
+      if (next_scheduled_at_ - started_at_ > options_.length || requests_sent_ >= options_.max_requests)
+        return;
     }
     if (!stop_) next_request_timer_.expire_at(next_scheduled_at_);
   }
@@ -123,7 +124,7 @@
       return connection;
     }
     if (connections_.size() >= kMaxConnections) return nullptr;
-    net::FileDescriptor fd = net::connect_tcp(plan_.targets[target]);
+    net::FileDescriptor fd = net::connect_tcp(options_.targets[target]);
     if (!fd) return nullptr;
     connections_.push_back(std::make_unique<LoadConnection>(loop_, *this, target, std::move(fd)));
     return connections_.back().get();
@@ -141,8 +142,8 @@
     LoadTotals all;
     for (const LoadTotals& route : by_route_) all += route;
     return {{"scenario", scenario_.name},
-            {"seed", plan_.seed},
-            {"rate", plan_.rate},
+            {"seed", options_.seed},
+            {"rate", options_.rate},
             {"seconds", to_seconds(std::min(next_scheduled_at_, loop_.now()) - started_at_)},
             {"all", all.to_json()},
             {"routes", by_name(scenario_.routes, by_route_)},
@@ -152,7 +153,7 @@
 
   net::EventLoop& loop_;
   const Scenario& scenario_;
-  const LoadPlan& plan_;
+  const LoadOptions& options_;
   const std::atomic<bool>& stop_;
   RequestFactory requests_;
   std::vector<std::unique_ptr<LoadConnection>> connections_;
@@ -161,7 +162,7 @@
   std::vector<LoadTotals> by_plan_;
   Duration started_at_{0};
   Duration next_scheduled_at_{0};  // scheduled time of the next request
-  Duration max_send_delay_{0};     // longest time by which a request was sent after its scheduled time
+  Duration max_send_delay_{0};     // longest delay between a scheduled time and the sending of its request
   std::uint64_t requests_sent_ = 0;
   std::uint64_t in_flight_ = 0;
   std::uint64_t late_sends_ = 0;  // requests sent more than kLateSendThreshold after their scheduled time
@@ -171,9 +172,9 @@
 
 }  // namespace
 
-Json generate_load(net::EventLoop& loop, const Scenario& scenario, const LoadPlan& plan,
+Json generate_load(net::EventLoop& loop, const Scenario& scenario, const LoadOptions& options,
                    const std::atomic<bool>& stop) {
-  return LoadGenerator(loop, scenario, plan, stop).run();
+  return LoadGenerator(loop, scenario, options, stop).run();
 }
 
 }  // namespace ironquay::lab
--- a/src/lab/loadgen/load_generator.hpp
+++ b/src/lab/loadgen/load_generator.hpp
@@ -13,17 +13,19 @@
 
 namespace ironquay::lab {
 
-struct LoadPlan {
+// What the load generator sends, and where to.
+struct LoadOptions {
   std::vector<net::Address> targets;  // addresses of the gateways, by index
   double rate = 10;                   // requests per second
   Duration length{0};                 // time during which requests are sent
-  std::uint64_t max_requests = 0;     // the generator stops earlier after this number of requests
+  // The generator stops after this number of requests, even if `length` has not passed yet.
+  std::uint64_t max_requests = 0;
   std::uint32_t seed = 1;
 };
 
-// Runs `loop` until the plan is complete and all requests have ended, and returns the figures that
+// Sends requests as `options` say and runs `loop` until all of them have ended. Returns the figures, which
 // docs/laboratory.md explains. After `stop` is set, no further requests are sent. Clients do not retry.
-nlohmann::ordered_json generate_load(net::EventLoop& loop, const Scenario& scenario, const LoadPlan& plan,
-                                     const std::atomic<bool>& stop);
+nlohmann::ordered_json generate_load(net::EventLoop& loop, const Scenario& scenario,
+                                     const LoadOptions& options, const std::atomic<bool>& stop);
 
 }  // namespace ironquay::lab
--- a/src/lab/loadgen/request_factory.cpp
+++ b/src/lab/loadgen/request_factory.cpp
@@ -12,7 +12,7 @@
 
 // The customers of plan i are numbered from i * kCustomersPerPlan, so that numbers are unique over all plans.
 constexpr std::size_t kCustomersPerPlan = 1'000'000;
-// The words of a request command: verb, customer, request tag, fields.
+// The number of words of a request command: verb, customer, request tag, fields.
 constexpr std::size_t kRequestWords = 4;
 
 // The total demand of the customers of each plan, in units per second.
@@ -31,7 +31,7 @@
   return name;
 }
 
-// Identifies a request. It is also the idempotency key of a keyed request.
+// Returns the tag that identifies a request. It is also the idempotency key of a keyed request.
 std::string request_tag(std::uint32_t seed, std::uint64_t sequence_number) {
   char tag[24];
   std::snprintf(tag, sizeof tag, "%08x%08llx", seed, static_cast<unsigned long long>(sequence_number));
--- a/src/lab/loopback.cpp
+++ b/src/lab/loopback.cpp
@@ -7,7 +7,7 @@
 namespace ironquay::lab {
 namespace {
 
-constexpr std::uint32_t kLoopbackFirstOctet = 127;  // of 127.0.0.0/8
+constexpr std::uint32_t kLoopbackFirstOctet = 127;  // first octet of the addresses in 127.0.0.0/8
 
 bool is_loopback(const net::Address& address) {
   return ntohl(address.sin_addr.s_addr) >> 24 == kLoopbackFirstOctet;
--- a/src/lab/stubs/stub_discovery_agent.hpp
+++ b/src/lab/stubs/stub_discovery_agent.hpp
@@ -1,5 +1,5 @@
-// A stub of the platform's discovery service. On a loopback socket, it serves complete lists of workers on
-// request, and watches that stream the changes of the list.
+// A stub of the platform's discovery service. It listens on a loopback socket, answers polls with the
+// complete list of workers, and streams the changes of the list to watches.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -24,23 +24,24 @@
   // The address that the agent listens at, with the actual port.
   std::string address() const { return server_.address(); }
 
-  // Adds or changes a host and sends the change to all watches. `started_at` is when the worker started; 0 if
-  // that was long ago.
+  // Adds or changes a host and sends the change to all watches. `started_at` is when the worker started; 0
+  // means that it has already warmed up.
   void set_host(const std::string& name, const std::string& worker_address, HostHealth health,
                 Duration started_at = Duration(0));
   // Begins a fault of the kind discovery_silent, which ends after its length. Other kinds are ignored.
   void inject(const Fault& fault);
 
  private:
-  using Version = std::int64_t;  // of the list of hosts; every change increments it
-  // A watch that starts from this version has no list yet and receives a complete one first.
+  // The version of the list of hosts. Every change of the list increments it.
+  using Version = std::int64_t;
+  // The version of a watch that has no list yet. It receives a complete list first.
   static constexpr Version kNoVersion = -1;
 
   struct Host {
     std::string worker_address;
     HostHealth health = HostHealth::in_service;
     Duration started_at{0};
-    Version version = 0;  // version of the list that first contained the last change of the host
+    Version version = 0;  // version of the list that the last change of this host created
   };
 
   std::size_t on_bytes(StubServer::Connection& connection, std::string_view bytes);
@@ -52,8 +53,9 @@
 
   std::map<std::string, Host> hosts_;
   Version version_ = 1;
-  std::map<std::uint64_t, Version> watches_;  // the list version that each watch has, by connection id
-  bool silent_ = false;                       // whether a discovery_silent fault is active
+  // The version of the list that each watch has received, by connection identifier.
+  std::map<std::uint64_t, Version> watches_;
+  bool silent_ = false;  // whether a discovery_silent fault is active
   net::Timer keep_alive_;
   TimerSet timers_;
   StubServer server_;
--- a/src/lab/stubs/stub_worker.cpp
+++ b/src/lab/stubs/stub_worker.cpp
@@ -12,15 +12,15 @@
 using net::resp::Command;
 using net::resp::ParseStatus;
 
-// While the worker hangs, the end of each of its jobs is postponed by this interval, until the worker has
+// A job that would end while the worker hangs is checked again at this interval until the worker has
 // recovered.
-constexpr Duration kHangRetryInterval = 50ms;
+constexpr Duration kHangCheckInterval = 50ms;
 // Lower bound of a slowdown factor. With a factor of 0, jobs would take no time.
 constexpr double kMinSlowdown = 1e-3;
 
-// The words of a request command are its verb, customer, request tag and fields.
+// The number of words of a request command: verb, customer, request tag, fields.
 constexpr std::size_t kRequestWords = 4;
-constexpr std::size_t kFieldsWord = 3;  // index of the fields
+constexpr std::size_t kFieldsWord = 3;  // index of the word that holds the fields
 
 constexpr char kPong[] = "+PONG\r\n";
 constexpr char kSyntaxError[] = "-SYNTAX\r\n";
@@ -109,15 +109,15 @@
 
 void StubWorker::finish(const Job& job) {
   if (crashed_) return;
-  if (hung_) return timers_.run_in(kHangRetryInterval, [this, job] { finish(job); });
+  if (hung_) return timers_.run_in(kHangCheckInterval, [this, job] { finish(job); });
   --busy_cores_;
   ++executed_;
   respond(job.slot, random_.chance(error_rate_) ? kFailed : served_response());
   execute_queued();
 }
 
-// Sends the response, and those that wait for it, once all earlier responses on the connection have been
-// sent.
+// Stores the response, and then sends every stored response of the connection for which all earlier responses
+// have been sent.
 void StubWorker::respond(const ResponseSlot& slot, std::string response) {
   Pipeline& pipeline = pipelines_[slot.connection];
   pipeline.pending_responses[slot.position] = std::move(response);
@@ -173,7 +173,7 @@
       hung_ = false;
       break;
     case FaultKind::worker_vanish:
-      // Connections to an unreachable machine do not survive, so they are closed.
+      // The connections of a machine that was unreachable are broken, so the stub closes them.
       server_.set_unresponsive(false);
       server_.disconnect_all();
       break;
--- a/src/lab/stubs/stub_worker.hpp
+++ b/src/lab/stubs/stub_worker.hpp
@@ -49,7 +49,7 @@
   struct Pipeline {
     std::uint64_t next_command = 0;   // position of the response to the next command that arrives
     std::uint64_t next_response = 0;  // position of the next response to be sent
-    // Responses that cannot be sent before earlier ones, by position.
+    // Responses that wait until all earlier ones have been sent, by position.
     std::map<std::uint64_t, std::string> pending_responses;
   };
 
--- a/test/lab/emulator_test.cpp
+++ b/test/lab/emulator_test.cpp
@@ -34,12 +34,12 @@
 // The expected time in the system, in seconds: the waiting time, which is the Erlang C probability of waiting
 // divided by the spare capacity, plus the mean work.
 double expected_time_in_system(const Queue& queue) {
-  const double offered = queue.load * queue.cores;
+  const double offered_load = queue.load * queue.cores;
   double term = 1;
   double sum = 0;
   for (int i = 0; i < queue.cores; ++i) {
     sum += term;
-    term *= offered / (i + 1);
+    term *= offered_load / (i + 1);
   }
   const double waiting_term = term / (1 - queue.load);
   const double wait_probability = waiting_term / (sum + waiting_term);
--- a/test/lab/invariant_checker_test.cpp
+++ b/test/lab/invariant_checker_test.cpp
@@ -16,7 +16,8 @@
 
 using namespace std::chrono_literals;
 
-// A policy whose reactions to events a test replaces by faulty ones.
+// A policy that violates an invariant. The test sets what the policy does on a new request and after a failed
+// attempt.
 struct FaultyPolicy : PolicyUnderTest {
   explicit FaultyPolicy(Effects& gateway_effects) : effects(gateway_effects) {}
   void on_endpoint_list_begin(Duration, EndpointListKind) override {}
@@ -26,7 +27,7 @@
   void on_endpoint_list_end(Duration) override {}
   void on_request(Duration, const IncomingRequest& request) override { handle_request(request.id); }
   void on_attempt_end(Duration, const AttemptResult& result) override {
-    if (!result.request_finished) handle_attempt_end(result.request);
+    if (!result.request_finished) handle_failed_attempt(result.request);
   }
   void on_client_disconnect(Duration, RequestId) override {}
   void on_timer(Duration) override {}
@@ -36,7 +37,7 @@
   void send(RequestId request, WorkerId worker) { effects.send_attempt(request, worker, 1s); }
 
   std::function<void(RequestId)> handle_request = [](RequestId) {};
-  std::function<void(RequestId)> handle_attempt_end = [this](RequestId request) { effects.fail(request); };
+  std::function<void(RequestId)> handle_failed_attempt = [this](RequestId request) { effects.fail(request); };
   Effects& effects;
   WorkerId started_worker = 0;  // the worker that started last during the run; 0: none has
 };
@@ -53,17 +54,17 @@
   return violation.is_null() ? "" : violation["rule"].get<std::string>();
 }
 
-// Configures a policy that sends every request to the first worker, and reacts as the test says when that
-// attempt has failed.
+// Configures a policy that sends every request to the first worker, and calls `reaction` when that attempt
+// has failed.
 std::function<void(FaultyPolicy&)> after_failed_attempt(
     const std::function<void(FaultyPolicy&, RequestId)>& reaction) {
   return [reaction](FaultyPolicy& policy) {
     policy.handle_request = [&policy](RequestId request) { policy.send(request, 1); };
-    policy.handle_attempt_end = [&policy, reaction](RequestId request) { reaction(policy, request); };
+    policy.handle_failed_attempt = [&policy, reaction](RequestId request) { reaction(policy, request); };
   };
 }
 
-// Configures a policy that reacts to every request as the test says.
+// Configures a policy that calls `reaction` for every new request.
 std::function<void(FaultyPolicy&)> on_request(const std::function<void(FaultyPolicy&, RequestId)>& reaction) {
   return [reaction](FaultyPolicy& policy) {
     policy.handle_request = [&policy, reaction](RequestId request) { reaction(policy, request); };
@@ -82,7 +83,7 @@
   overloaded_replacement.plans[0].usual_use = 20;
   const Scenario ceiling = make_scenario("", "", "use = 4\nceiling = 10\n");
 
-  const auto retry_elsewhere =
+  const auto retry_on_second_worker =
       after_failed_attempt([](FaultyPolicy& policy, RequestId request) { policy.send(request, 2); });
 
   CHECK(violated_rule(plain, [](FaultyPolicy&) {}) == "one final answer: none came");
@@ -98,12 +99,12 @@
                         policy.send(request, 1);
                         policy.send(request, 2);
                       })) == "no effect twice: two tries out");
-  CHECK(violated_rule(failing_workers, retry_elsewhere) ==
+  CHECK(violated_rule(failing_workers, retry_on_second_worker) ==
         "no effect twice: sent again though it may have run");
   CHECK(violated_rule(failing_workers, after_failed_attempt([](FaultyPolicy& policy, RequestId request) {
                         policy.effects.reject(request, 0s);
                       })) == "no effect twice: rate-limited though it may have run");
-  CHECK(violated_rule(single_worker_cells, retry_elsewhere) ==
+  CHECK(violated_rule(single_worker_cells, retry_on_second_worker) ==
         "no effect twice: sent where its repeat is not known");
   CHECK(violated_rule(replacement, on_request([](FaultyPolicy& policy, RequestId request) {
                         policy.send(request, 1);
--- a/test/lab/stub_server_test.cpp
+++ b/test/lab/stub_server_test.cpp
@@ -148,13 +148,13 @@
   // Sends `rate` requests per second to the gateway and returns the load generator's figures.
   nlohmann::ordered_json generate_load_for(Duration length, double rate) const {
     net::EventLoop loop;
-    LoadPlan plan;
-    plan.targets = {gateway_address_};
-    plan.rate = rate;
-    plan.length = length;
-    plan.max_requests = 100000;
+    LoadOptions options;
+    options.targets = {gateway_address_};
+    options.rate = rate;
+    options.length = length;
+    options.max_requests = 100000;
     const std::atomic<bool> stop = false;
-    return generate_load(loop, scenario, plan, stop);
+    return generate_load(loop, scenario, options, stop);
   }
 
  private:
