--- a/src/lab/cli/load_command.cpp
+++ b/src/lab/cli/load_command.cpp
@@ -52,7 +52,7 @@
   std::string scenario_file_;
   std::vector<std::string> target_addresses_;
   double duration_seconds_ = 10;
-  LoadPlan plan_;
+  LoadOptions plan_;
 };
 
 }  // namespace
--- a/test/lab/scenario_test.cpp
+++ b/test/lab/scenario_test.cpp
@@ -39,10 +39,10 @@
         "is required");
 }
 
-TEST_CASE("each scenario issue has its line and key") {
+TEST_CASE("a ScenarioError lists every issue with its line and key") {
   try {
     parse_scenario(scenario_text("manny = 3\ntries = 0\n[workers]\nfall_ms = 0\n"), "x.toml");
-    FAIL("accepted");
+    FAIL("the parser accepted an invalid scenario");
   } catch (const ScenarioError& error) {
     REQUIRE(error.issues().size() == 3);
     CHECK(error.issues()[0].line == 5);
