--- a/test/net/client_disconnect_test.cpp
+++ b/test/net/client_disconnect_test.cpp
@@ -22,19 +22,19 @@
 }
 
 TEST_CASE("a listener may respond to one request of a disconnected client while it is notified of another") {
-  FrontendFixture front;
+  FrontendFixture fixture;
   std::vector<Exchange*> exchanges;
-  front.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
-  front.disconnect_hook = [&](Exchange& exchange) { exchanges[exchange.id == 1 ? 1 : 0]->fail(); };
-  TestConnection client = front.connect();
+  fixture.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
+  fixture.disconnect_hook = [&](Exchange& exchange) { exchanges[exchange.id == 1 ? 1 : 0]->fail(); };
+  TestConnection client = fixture.connect();
   client.send(lookup_request("1") + lookup_request("2") + lookup_request("3"));
-  REQUIRE(front.run_until_requests(3));
+  REQUIRE(fixture.run_until_requests(3));
   client.close();
-  REQUIRE(front.run_until([&] { return front.disconnect_count == 2; }));
-  TestConnection reconnected = front.connect();
+  REQUIRE(fixture.run_until([&] { return fixture.disconnect_count == 2; }));
+  TestConnection reconnected = fixture.connect();
   reconnected.send(lookup_request("1") + lookup_request("2"));
-  REQUIRE(front.run_until_requests(5));
-  REQUIRE(front.disconnect_count == 2);
+  REQUIRE(fixture.run_until_requests(5));
+  REQUIRE(fixture.disconnect_count == 2);
 }
 
 TEST_CASE("all requests of a client are cancelled when it disconnects while the gateway has paused reading") {
@@ -54,7 +54,8 @@
 
 TEST_CASE("a client that reconnects and retries is served even if the retry is read before the disconnect") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), reconnected = deployment.ready_client();
+  TestConnection client = deployment.ready_client();
+  TestConnection reconnected = deployment.ready_client();
   TestConnection counter = deployment.counter.accept();
   const std::string request = small_plan_lookup("1");
   client.send(small_plan_lookup("0") + request);
@@ -69,7 +70,8 @@
 
 TEST_CASE("a retry of a forwarded non-idempotent request is rejected when its client reconnects") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), reconnected = deployment.ready_client();
+  TestConnection client = deployment.ready_client();
+  TestConnection reconnected = deployment.ready_client();
   client.send(pay_request("2"));
   TestConnection worker = deployment.next_attempt().connection;
   REQUIRE(!worker.receive_command().empty());
