--- a/src/lab/cli/load_command.cpp
+++ b/src/lab/cli/load_command.cpp
@@ -19,7 +19,7 @@
   explicit LoadCommand(CLI::App& program)
       : Command(program.add_subcommand(
             "load", "Send open-loop load to gateways; latency is measured from the scheduled time")) {
-    plan_.max_requests = kDefaultMaxRequests;
+    load_options_.max_requests = kDefaultMaxRequests;
     CLI::App& options = subcommand();
     options
         .add_option("SCENARIO", scenario_file_, "scenario, a TOML file; its routes, plans and units are used")
@@ -28,23 +28,24 @@
         .add_option("--target", target_addresses_,
                     "address of a gateway in 127.0.0.0/8; repeat in the order of the gateways' indices")
         ->required();
-    options.add_option("--rate", plan_.rate, "requests per second")
+    options.add_option("--rate", load_options_.rate, "requests per second")
         ->capture_default_str()
         ->check(CLI::Range(0.1, 20000.0));
     options.add_option("--seconds", duration_seconds_, "duration in seconds")
         ->capture_default_str()
         ->check(CLI::Range(0.1, 3600.0));
-    options.add_option("--most", plan_.max_requests, "maximum number of requests")->capture_default_str();
-    options.add_option("--seed", plan_.seed, "seed of the schedule")->capture_default_str();
+    options.add_option("--most", load_options_.max_requests, "maximum number of requests")
+        ->capture_default_str();
+    options.add_option("--seed", load_options_.seed, "seed of the schedule")->capture_default_str();
   }
 
   int run() override {
     for (const std::string& target : target_addresses_)
-      plan_.targets.push_back(parse_loopback_address(target));
+      load_options_.targets.push_back(parse_loopback_address(target));
     const Scenario scenario = read_scenario_file(scenario_file_);
-    plan_.length = from_seconds(duration_seconds_);
+    load_options_.length = from_seconds(duration_seconds_);
     net::EventLoop loop;
-    std::cout << generate_load(loop, scenario, plan_, interruption_flag()).dump() << std::endl;
+    std::cout << generate_load(loop, scenario, load_options_, interruption_flag()).dump() << std::endl;
     return kSuccess;
   }
 
@@ -52,7 +53,7 @@
   std::string scenario_file_;
   std::vector<std::string> target_addresses_;
   double duration_seconds_ = 10;
-  LoadOptions plan_;
+  LoadOptions load_options_;
 };
 
 }  // namespace
