--- a/src/lab/emulator/emulated_gateway.hpp
+++ b/src/lab/emulator/emulated_gateway.hpp
@@ -27,7 +27,7 @@
   served,
   rejected,      // tells the client that it may safely send the request again
   failed,        // tells the client that the request may have been executed
-  disconnected,  // the gateway has crashed
+  disconnected,  // the gateway crashed before it responded, or it was not running
 };
 struct GatewayResponse {
   ResponseKind kind = ResponseKind::failed;
--- a/src/lab/emulator/emulation_figures.cpp
+++ b/src/lab/emulator/emulation_figures.cpp
@@ -48,13 +48,13 @@
 
 Json latency_quantiles(std::vector<double> latencies) {
   std::sort(latencies.begin(), latencies.end());
-  const auto milliseconds = [&](double probability) {
+  const auto quantile_ms = [&](double probability) {
     return sorted_quantile(latencies, probability) * kMillisecondsPerSecond;
   };
-  return {{"p50", milliseconds(.5)},
-          {"p90", milliseconds(.9)},
-          {"p99", milliseconds(.99)},
-          {"p99.9", milliseconds(.999)}};
+  return {{"p50", quantile_ms(.5)},
+          {"p90", quantile_ms(.9)},
+          {"p99", quantile_ms(.99)},
+          {"p99.9", quantile_ms(.999)}};
 }
 
 Json to_json(const std::optional<InvariantViolation>& violation) {
--- a/src/lab/emulator/invariant_checker.cpp
+++ b/src/lab/emulator/invariant_checker.cpp
@@ -85,16 +85,16 @@
 
 void InvariantChecker::check_duplicates(Duration now, RequestId id, const OpenRequest& request, int worker,
                                         int cell) {
-  const Attempt* first_executed = nullptr;
+  const Attempt* first_possible_execution = nullptr;
   for (const Attempt& attempt : request.attempts) {
     if (attempt.in_flight) report(now, kConcurrentAttempts, id, worker);
-    if (attempt.may_have_executed && !first_executed) first_executed = &attempt;
+    if (attempt.may_have_executed && !first_possible_execution) first_possible_execution = &attempt;
   }
-  if (!first_executed) return;
+  if (!first_possible_execution) return;
   const Route& route = route_of(request);
   if (route.idempotency == Idempotency::non_idempotent) report(now, kExecutedAgain, id, worker);
   const bool repeat_is_discarded =
-      first_executed->cell == cell && now <= first_executed->sent_at + route.dedup_window;
+      first_possible_execution->cell == cell && now <= first_possible_execution->sent_at + route.dedup_window;
   if (route.idempotency == Idempotency::keyed && !repeat_is_discarded)
     report(now, kSentOutsideDedupScope, id, worker);
 }
--- a/test/lab/report_test.cpp
+++ b/test/lab/report_test.cpp
@@ -36,8 +36,8 @@
 TEST_CASE("a report states which figures of two variants differ, and rejects files that are not runs") {
   const ConfidenceInterval interval = mean_confidence_interval({1, 2, 3, 4});
   CHECK(interval.mean == Approx(2.5));
-  // 3.182 is the 97.5% quantile of the t distribution with three degrees of freedom, and 5/3 the sample
-  // variance.
+  // 3.182 is the 97.5% quantile of the t distribution with three degrees of freedom, and 5/3 is the
+  // sample variance.
   CHECK(interval.high - interval.mean == Approx(3.182 * std::sqrt(5.0 / 3) / 2).epsilon(0.001));
   const std::string runs = "/tmp/ironquay-lab-runs-" + std::to_string(getpid()) + ".jsonl";
   write_runs(runs);
--- a/test/lab/stub_server_test.cpp
+++ b/test/lab/stub_server_test.cpp
@@ -110,7 +110,7 @@
   pid_t pid_ = 0;
 };
 
-// One gateway process, and stubs of two workers, the counter and the discovery service, which share one
+// One gateway process, and stubs of two workers, the counter and the discovery service. The stubs share one
 // thread.
 class Deployment {
  public:
--- a/test/lab/support.hpp
+++ b/test/lab/support.hpp
@@ -9,9 +9,9 @@
 
 namespace ironquay::lab {
 
-// The text of a scenario with two gateways, one route "r" and one plan "p". `tables` is inserted as line 4,
-// after the first key of the table [gatekeepers]: it may hold further keys of that table, and then other
-// tables. `route` and `plan` hold further keys of the route and the plan.
+// The text of a scenario with two gateways, one route "r" and one plan "p". `tables` starts at line 4,
+// directly after the first key of the table [gatekeepers]. It may begin with further keys of that table,
+// which other tables may follow. `route` and `plan` hold further keys of the route and the plan.
 inline std::string scenario_text(const std::string& tables, const std::string& route = "",
                                  const std::string& plan = "") {
   return "length_ms = 4000\n[gatekeepers]\nmany = 2\n" + tables +
