--- a/src/lab/emulator/client_population.cpp
+++ b/src/lab/emulator/client_population.cpp
@@ -67,7 +67,7 @@
   double factor = 1;
   for (const Fault& fault : scenario_.faults) {
     if (fault.kind != FaultKind::burst || fault.plan != plan) continue;
-    const bool active = events_.now() >= fault.at && events_.now() < fault.at + fault.length;
+    const bool active = events_.now() >= fault.start_time && events_.now() < fault.start_time + fault.length;
     if (active) factor = std::max(factor, fault.factor);
   }
   return factor;
@@ -196,7 +196,7 @@
     return finish_request(request, outcome_of(response, events_.now() - request.started_at, route));
   --request.remaining_retries;
   const bool honours_retry_after =
-      response.retry_after > Duration(0) && choices_.chance(scenario_.clients.honours_retry_after);
+      response.retry_after > Duration(0) && choices_.chance(scenario_.clients.follow_retry_after_probability);
   const Duration delay =
       honours_retry_after ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
   events_.schedule_in(delay, [this, request] { send(request); });
--- a/src/policy/attempt_observer.hpp
+++ b/src/policy/attempt_observer.hpp
@@ -1,4 +1,5 @@
-// Updates the statistics and limits of workers, routes and the whole fleet with the outcome of each attempt.
+// Updates the statistics and limits of workers, of routes and of the fleet (all workers together) with the
+// outcome of each attempt.
 #pragma once
 #include <vector>
 
@@ -14,11 +15,11 @@
 class AttemptObserver {
  public:
   AttemptObserver(const PolicySettings& settings, ConcurrencyLimiter& limiter, OverloadController& overload,
-                  std::vector<RouteStatistics>& routes)
-      : settings_(settings), limiter_(limiter), overload_(overload), routes_(routes) {}
+                  std::vector<RouteStatistics>& route_statistics)
+      : settings_(settings), limiter_(limiter), overload_(overload), route_statistics_(route_statistics) {}
 
-  // Records that an attempt of the request at the worker ended, or was abandoned, `elapsed` after it was
-  // sent.
+  // Records that an attempt of the request at the worker ended, or that the gateway stopped waiting for it,
+  // `elapsed` after it was sent.
   void record(Worker& worker, const Request& request, Outcome outcome, Duration elapsed, Duration now);
 
   // Records that this gateway's process was suspended until now. Attempts sent before now are ignored,
@@ -26,15 +27,15 @@
   void process_resumed(Duration now) { resumed_at_ = now; }
 
  private:
-  void record_response(Worker& worker, RouteStatistics& route, const Request& request, Duration elapsed,
+  void record_response(Worker& worker, RouteStatistics& statistics, const Request& request, Duration elapsed,
                        Duration now);
   void record_failure(Worker& worker, Outcome outcome, Duration elapsed, Duration now);
 
   const PolicySettings& settings_;
   ConcurrencyLimiter& limiter_;
   OverloadController& overload_;
-  std::vector<RouteStatistics>& routes_;
-  Duration resumed_at_{0};
+  std::vector<RouteStatistics>& route_statistics_;
+  Duration resumed_at_{0};  // when the process last resumed after a suspension
 };
 
 }  // namespace ironquay
