--- a/test/lab/invariant_checker_test.cpp
+++ b/test/lab/invariant_checker_test.cpp
@@ -79,13 +79,8 @@
       "[workers]\ncell_size = 1\n[[fault]]\nkind = \"worker-error\"\npart = 1\n", "repeat = \"tokened\"\n");
   const Scenario replacement =
       make_scenario("[[fault]]\nkind = \"replace\"\nat_ms = 500\nlength_ms = 100\nworkers = [0]\n");
-<<<<<<< HEAD
   Scenario overloaded_replacement = replacement;
-  overloaded_replacement.plans[0].usual_use = 20;
-=======
-  Scenario busy_replacement = replacement;
-  busy_replacement.plans[0].normal_quota_use = 20;
->>>>>>> wording-edges
+  overloaded_replacement.plans[0].normal_quota_use = 20;
   const Scenario ceiling = make_scenario("", "", "use = 4\nceiling = 10\n");
 
   const auto retry_on_second_worker =
--- a/test/lab/report_test.cpp
+++ b/test/lab/report_test.cpp
@@ -1,8 +1,4 @@
-<<<<<<< HEAD
 // Tests of the report on emulator runs.
-=======
-// Tests the report on emulator runs.
->>>>>>> wording-edges
 #include "lab/report/report.hpp"
 
 #include <unistd.h>
@@ -22,12 +18,8 @@
 namespace ironquay::lab {
 namespace {
 
-<<<<<<< HEAD
 // Writes a run file with four seeds in two variants. The variants differ only in the number of attempts per
 // request, which is 0.5 higher for "slices alone".
-=======
-// Writes the runs of four seeds in two variants, which differ in the number of attempts only.
->>>>>>> wording-edges
 void write_runs(const std::string& path) {
   const Scenario scenario = make_scenario("");
   std::ofstream file(path);
@@ -41,11 +33,7 @@
   }
 }
 
-<<<<<<< HEAD
 TEST_CASE("a report states which figures of two variants differ, and rejects files that are not runs") {
-=======
-TEST_CASE("a report contains the difference between variants, or \"no difference seen\" if it is zero") {
->>>>>>> wording-edges
   const ConfidenceInterval interval = mean_confidence_interval({1, 2, 3, 4});
   CHECK(interval.mean == Approx(2.5));
   // 3.182 is the 97.5% quantile of the t distribution with three degrees of freedom, and 5/3 is the
