--- a/src/lab/emulator/client_population.cpp
+++ b/src/lab/emulator/client_population.cpp
@@ -195,10 +195,10 @@
   if (request.remaining_retries == 0 || !should_retry(response, route))
     return finish_request(request, outcome_of(response, events_.now() - request.started_at, route));
   --request.remaining_retries;
-  const bool honours_retry_after =
+  const bool follows_retry_after =
       response.retry_after > Duration(0) && choices_.chance(scenario_.clients.follow_retry_after_probability);
   const Duration delay =
-      honours_retry_after ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
+      follows_retry_after ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
   events_.schedule_in(delay, [this, request] { send(request); });
 }
 
