--- a/src/policy/counter_health.cpp
+++ b/src/policy/counter_health.cpp
@@ -29,7 +29,7 @@
   if (affects_health) backoff_ = replied ? 0s : std::clamp<Duration>(2 * backoff_, kMinBackoff, kMaxBackoff);
   unavailable_until_ = now + backoff_;
 
-  // A reply is slow if its call took more than half of the time-out.
+  // A call that takes more than half of the time-out indicates that calls queue at the counter.
   const bool slow = now - sent_at > timeout_ / 2;
   if (replied && !slow) call_share_ = std::min(1.0, call_share_ + kCallShareIncrease);
   if (affects_health && (slow || !replied)) {
--- a/src/policy/quota_pool.cpp
+++ b/src/policy/quota_pool.cpp
@@ -20,7 +20,7 @@
 // The counter is not called for a contribution below this share of the plan's burst.
 constexpr double kMinContributionShare = 0.1;
 // The rate at which a slice refills is divided by this before it is compared with the measured demand. The
-// other half is headroom for demand above the measured rate.
+// rest of the rate is headroom for demand above the measured rate.
 constexpr double kDemandHeadroomDivisor = 2;
 // The surplus is the part of the inflow of this many seconds that exceeds demand and its headroom.
 constexpr double kSurplusSeconds = 2;
--- a/src/policy/quota_pool.hpp
+++ b/src/policy/quota_pool.hpp
@@ -43,7 +43,8 @@
   std::string customer;
   double units = 0;       // units that a contribution removed from the slice, or that a take adds to it
   RequestId request = 0;  // the request that waits for the reply, if the purpose is take_for_request
-  double amount = 0;      // units that the call adds to the count; a take may cover other requests too
+  // Units that the call adds to the count. A take adds more than `units` if it also covers other requests.
+  double amount = 0;
   Duration sent_at{0};
 };
 
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -39,7 +39,7 @@
 
   // Whether the request's plan does not limit the rate.
   bool is_unlimited(const Request& request) const { return settings_.plans[request.plan].rate <= 0; }
-  // Estimates the time until the slice holds `units` if it fills at its whole rate, including the pooled
+  // Estimates the time until the slice holds `units` if it refills at its whole rate, including the pooled
   // part. The result is at most one minute.
   static Duration time_to_cover(const QuotaSlice& slice, double units);
   // Whether the plan permits the customer another attempt in flight at this gateway.
