--- a/test/lab/report_test.cpp
+++ b/test/lab/report_test.cpp
@@ -1,4 +1,8 @@
-// The report on emulator runs.
+<<<<<<< HEAD
+// Tests of the report on emulator runs.
+=======
+// Tests the report on emulator runs.
+>>>>>>> wording-edges
 #include "lab/report/report.hpp"
 
 #include <unistd.h>
@@ -18,7 +22,12 @@
 namespace ironquay::lab {
 namespace {
 
-// Four seeds in two variants, which differ in the number of attempts only.
+<<<<<<< HEAD
+// Writes a run file with four seeds in two variants. The variants differ only in the number of attempts per
+// request, which is 0.5 higher for "slices alone".
+=======
+// Writes the runs of four seeds in two variants, which differ in the number of attempts only.
+>>>>>>> wording-edges
 void write_runs(const std::string& path) {
   const Scenario scenario = make_scenario("");
   std::ofstream file(path);
@@ -32,10 +41,15 @@
   }
 }
 
-TEST_CASE("a report says what differs, and that nothing does where nothing does") {
+<<<<<<< HEAD
+TEST_CASE("a report states which figures of two variants differ, and rejects files that are not runs") {
+=======
+TEST_CASE("a report contains the difference between variants, or \"no difference seen\" if it is zero") {
+>>>>>>> wording-edges
   const ConfidenceInterval interval = mean_confidence_interval({1, 2, 3, 4});
   CHECK(interval.mean == Approx(2.5));
-  // The t distribution with three degrees of freedom.
+  // 3.182 is the 97.5% quantile of the t distribution with three degrees of freedom, and 5/3 the sample
+  // variance.
   CHECK(interval.high - interval.mean == Approx(3.182 * std::sqrt(5.0 / 3) / 2).epsilon(0.001));
   const std::string runs = "/tmp/ironquay-lab-runs-" + std::to_string(getpid()) + ".jsonl";
   write_runs(runs);
@@ -44,9 +58,9 @@
   CHECK(out.str().find("tries 0.500 (0.500 to 0.500)") != std::string::npos);
   CHECK(out.str().find("served_inside no difference seen (0.000 to 0.000)") != std::string::npos);
   CHECK_THROWS_WITH(write_report({runs, runs}, "", out),
-                    Catch::Contains(runs + ":1: no run: seed 1 stands there twice"));
+                    Catch::Contains(runs + ":1: invalid run: duplicate seed 1"));
   std::ofstream(runs) << "{\"scenario\": 3}\n";
-  CHECK_THROWS_WITH(write_report({runs}, "", out), Catch::Contains(runs + ":1: no run"));
+  CHECK_THROWS_WITH(write_report({runs}, "", out), Catch::Contains(runs + ":1: invalid run"));
   std::remove(runs.c_str());
 }
 
--- a/test/net/client_connection_test.cpp
+++ b/test/net/client_connection_test.cpp
@@ -47,7 +47,8 @@
   REQUIRE(client.reaches_end());
   client.close();
   REQUIRE(deployment.gateway.logs("reason=malformed-request"));
-  TestConnection other = deployment.ready_client(), quitting = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
+  TestConnection quitting = deployment.ready_client();
   other.send(std::string(kPing) + "*0\r\n");
   REQUIRE(other.receives(std::string(kPong) + kProtocolError));
   REQUIRE(other.reaches_end());
@@ -90,7 +91,8 @@
 
 TEST_CASE("a request with the id of a request in flight is rejected without affecting that request") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), other = deployment.ready_client();
+  TestConnection client = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
   client.send(pay_request("1"));
   TestConnection worker = deployment.next_attempt().connection;
   other.send(pay_request("1"));
@@ -106,7 +108,8 @@
 
 TEST_CASE("a client that does not read its responses delays no other client and loses no response") {
   Deployment deployment(1);
-  TestConnection slow = deployment.ready_client(), other = deployment.ready_client();
+  TestConnection slow = deployment.ready_client();
+  TestConnection other = deployment.ready_client();
   const std::string value(60000, 'x');
   TestConnection worker;
   int unread_responses = 0;
@@ -129,21 +132,23 @@
 }
 
 TEST_CASE("the time for which a request may have waited unread is deducted from its timeout") {
-  constexpr std::size_t kMaxInFlight = 1024;  // requests per connection before the gateway stops reading
-  FrontendFixture front;
+  // While a connection has this many pending requests, the gateway does not read from it. It resumes reading
+  // when fewer than half of them are pending.
+  constexpr std::size_t kMaxPipelinedCommands = 1024;
+  FrontendFixture fixture;
   std::vector<Exchange*> exchanges;
-  front.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
-  TestConnection client = front.connect();
+  fixture.request_hook = [&](Exchange& exchange) { exchanges.push_back(&exchange); };
+  TestConnection client = fixture.connect();
   std::string requests;
-  for (std::size_t i = 0; i <= kMaxInFlight; ++i) requests += lookup_request(std::to_string(i));
+  for (std::size_t i = 0; i <= kMaxPipelinedCommands; ++i) requests += lookup_request(std::to_string(i));
   client.send(requests);
-  REQUIRE(front.run_until_requests(kMaxInFlight));
-  front.run_for(600ms);
-  REQUIRE(front.request_count == kMaxInFlight);
+  REQUIRE(fixture.run_until_requests(kMaxPipelinedCommands));
+  fixture.run_for(600ms);
+  REQUIRE(fixture.request_count == kMaxPipelinedCommands);
   for (std::size_t i = 0; i < 600; ++i) exchanges[i]->reject(0ms);
-  REQUIRE(front.run_until_requests(kMaxInFlight + 1));
-  REQUIRE(front.received_time_left.front() > 900ms);
-  REQUIRE(front.received_time_left.back() <= 900ms);
+  REQUIRE(fixture.run_until_requests(kMaxPipelinedCommands + 1));
+  REQUIRE(fixture.received_time_left.front() > 900ms);
+  REQUIRE(fixture.received_time_left.back() <= 900ms);
 }
 
 }  // namespace
--- a/test/net/client_half_close_test.cpp
+++ b/test/net/client_half_close_test.cpp
@@ -9,17 +9,17 @@
 /// Waits until the gateway half-closes `client`, then immediately sends a request, and checks that the
 /// connection is not reset and the request is not forwarded. `last_open` is a time at which the connection
 /// was still open. `linger_time` is the time for which the gateway reads after the half-close. Returns false,
-/// without further checks, if the machine was so slow that this time may already have passed when the request
-/// was sent.
+/// without further checks, if the machine was so slow that this time may have passed before the request was
+/// sent.
 bool late_request_is_not_reset(Deployment& deployment, TestConnection& client, Clock::time_point last_open,
                                Milliseconds linger_time) {
   const auto wait_deadline = Clock::now() + kWaitTimeout;
   while (Clock::now() < wait_deadline && !readable(client.fd(), 5ms)) last_open = Clock::now();
   REQUIRE(client.reaches_end());
   client.send(lookup_request("late"));
-  const bool broken = client.is_broken();
+  const bool was_reset = client.peer_has_reset();
   if (Clock::now() - last_open > linger_time) return false;
-  REQUIRE_FALSE(broken);
+  REQUIRE_FALSE(was_reset);
   REQUIRE(deployment.no_attempt_for(30ms));
   return true;
 }
@@ -30,14 +30,16 @@
   SECTION("no command") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
-      TestConnection ready = deployment.ready_client(), inactive = deployment.connect();
+      TestConnection ready = deployment.ready_client();
+      TestConnection inactive = deployment.connect();
       return late_request_is_not_reset(deployment, inactive, Clock::now(), kLingerTime);
     });
   }
   SECTION("incomplete command") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
-      TestConnection ready = deployment.ready_client(), partial = deployment.connect();
+      TestConnection ready = deployment.ready_client();
+      TestConnection partial = deployment.connect();
       partial.send(kPartialCommand);
       return late_request_is_not_reset(deployment, partial, Clock::now(), kLingerTime);
     });
@@ -83,7 +85,7 @@
     deployment.limit_descriptors(64);
     const auto start = Clock::now();
     const std::vector<TestConnection> idle = deployment.ready_clients(100);  // none closes its side
-    // Were each group of eight lingering connections kept for a full second, this would take over eight
+    // If each group of eight lingering connections were kept for a full second, this would take over eight
     // seconds.
     return seconds_since(start) < 4;
   });
--- a/test/net/counter_client_test.cpp
+++ b/test/net/counter_client_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST_CASE(
-    "a request over the local quota calls the counter, and a late reply is not used for the next call") {
+    "a request over the quota slice calls the counter, and a late reply is not used for the next call") {
   Deployment deployment;
   TestConnection client = deployment.ready_client();
   TestConnection counter = deployment.counter.accept();
@@ -13,7 +13,7 @@
   const std::string counter_call = counter.receive_command();
   REQUIRE_THAT(counter_call, StartsWith("CNT.ADD 00000000b4d65521:"));
   REQUIRE_THAT(counter_call, EndsWith(" 58000"));
-  // If the counter does not reply within 80 ms, the local quota alone decides.
+  // If the counter does not reply within 80 ms, the quota slice alone decides.
   TestConnection worker = deployment.next_attempt().connection;
   worker.answer_command(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v")));
@@ -32,7 +32,8 @@
         std::string("$7\r\n1"), std::string("-noise\r\n")}) {
     INFO(reply);
     Deployment deployment(1);
-    TestConnection client = deployment.ready_client(), counter = deployment.counter.accept();
+    TestConnection client = deployment.ready_client();
+    TestConnection counter = deployment.counter.accept();
     client.send(small_plan_lookup("1"));
     counter.answer_command(reply);
     // The counter may have added the units, so the call does not count as failed.
@@ -50,7 +51,8 @@
 
 TEST_CASE("an inactive counter connection is closed and the next counter call uses another") {
   Deployment deployment(1);
-  TestConnection client = deployment.ready_client(), counter = deployment.counter.accept();
+  TestConnection client = deployment.ready_client();
+  TestConnection counter = deployment.counter.accept();
   client.send(small_plan_lookup("1") + small_plan_lookup("2") + small_plan_lookup("3"));
   for (int i = 0; i < 3; ++i) counter.receive_command();
   TestConnection reconnected = deployment.counter.accept();
@@ -70,7 +72,7 @@
   client.send(small_plan_lookup("1"));
   REQUIRE_THAT(second.receive_command(), StartsWith("CNT.ADD "));
   second.reset();
-  // The units may have been added, so the local quota alone decides.
+  // The units may have been added, so the quota slice alone decides.
   TestConnection worker = deployment.next_attempt().connection;
   worker.answer_command(worker_reply("v"));
   REQUIRE(client.receives(bulk_string("v")));
