--- a/test/net/gossip_test.cpp
+++ b/test/net/gossip_test.cpp
@@ -12,7 +12,7 @@
   TestConnection counter = deployment.counter.accept();
   const std::string oversized(300, '1');
   sendto(deployment.peer_socket().get(), oversized.data(), oversized.size(), 0,
-         reinterpret_cast<const sockaddr*>(&deployment.address()), sizeof(Address));
+         reinterpret_cast<const sockaddr*>(&deployment.gossip_address()), sizeof(Address));
   client.send(small_plan_lookup("1"));
   counter.answer_command(bulk_string("1000000"));
   REQUIRE_THAT(client.receive_line(), StartsWith("-BUSY "));
--- a/test/net/support/deployment.cpp
+++ b/test/net/support/deployment.cpp
@@ -16,15 +16,19 @@
 Deployment::Deployment(std::size_t workers) : workers_(workers) {
   peer_socket_ = bind_udp(any_port(kGatewayHost));
   address_ = address_of(listen_tcp(any_port(kGatewayHost)));
+  // The system chooses the port among those that are free for UDP, which a free TCP port need not be.
+  gossip_reservation_ = bind_udp(any_port(kGatewayHost));
+  gossip_address_ = address_of(gossip_reservation_);
   const std::string own_address = to_string(address_);
+  const std::string own_gossip_address = to_string(gossip_address_);
   const std::string peer_address = to_string(address_of(peer_socket_));
   config = {{"name", "n0"},
             {"listen", own_address},
             {"discovery", discovery.address()},
             {"seed", "8c1f30d27a5be964"},
             {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
-            {"peer_listen", own_address},
-            {"peers", {own_address, peer_address}},
+            {"peer_listen", own_gossip_address},
+            {"peers", {own_gossip_address, peer_address}},
             {"peers_all", peer_address},
             {"counter", counter.address()},
             {"known", endpoint_list(41, "in_service")},
@@ -33,6 +37,7 @@
 
 void Deployment::start() {
   gateway.write_config(config.dump());
+  gossip_reservation_ = FileDescriptor();
   gateway.start(discovery.address());
 }
 
--- a/test/net/support/deployment.hpp
+++ b/test/net/support/deployment.hpp
@@ -71,6 +71,8 @@
   /// Returns the watch that ready_client() accepted; accepts the next one if there is none.
   Watch take_watch();
 
+  /// The UDP address at which the gateway receives gossip.
+  const Address& gossip_address() const { return gossip_address_; }
   /// The UDP socket of the other gateway, which receives the gossip.
   const FileDescriptor& peer_socket() const { return peer_socket_; }
 
@@ -88,6 +90,8 @@
   std::optional<Watch> watch_;
   bool watch_accepted_ = false;
   Address address_{};
+  Address gossip_address_{};
+  FileDescriptor gossip_reservation_;  // holds the port of gossip_address_ until the gateway is started
   FileDescriptor peer_socket_;
 };
 
