--- a/src/net/client_acceptor.cpp
+++ b/src/net/client_acceptor.cpp
@@ -16,7 +16,8 @@
 constexpr int kMaxAcceptsPerEvent = 64;
 // The delay before accept_pending() is called again when the system is out of descriptors or memory.
 constexpr Duration kAcceptErrorRetryDelay = 50ms;
-// The same delay when no connection can be accepted until another has lingered for kMinLinger.
+// The delay before accept_pending() is called again when no connection can be accepted until another one has
+// lingered for kMinLinger.
 constexpr Duration kLingerRetryDelay = ClientConnection::kMinLinger / 5;
 
 [[noreturn]] void throw_listen_error(const Address& address) {
--- a/src/net/client_close_reason.hpp
+++ b/src/net/client_close_reason.hpp
@@ -18,7 +18,7 @@
   slow_reader,               // the memory limit is exceeded and the client does not read its responses
 };
 
-// The reason code that the log shows.
+// Returns the reason code that is written to the log.
 const char* to_string(ClientCloseReason reason);
 
 }  // namespace ironquay::net
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -112,7 +112,7 @@
   if (const RequestError* error = std::get_if<RequestError>(&result))
     return request.respond({error_response(*error)});
   request.request = std::get<RequestMessage>(result);
-  if (conflicts_with_open_request(request.request.client_request_id))
+  if (!try_free_request_id(request.request.client_request_id))
     return request.respond({error_response(RequestError::duplicate_request_id)});
   if (!std::exchange(has_sent_request_, true)) context_.limiter.on_request_connection_added();
   accept_request(request, command.wire_bytes);
@@ -142,19 +142,20 @@
   return std::min(time_left, context_.drain.response_deadline - now);
 }
 
-// Returns whether an open request with this id prevents a new one from being accepted. When a client
-// disconnects and retries on a new connection, the gateway may read the retry before the end of stream of the
-// old connection. In that case this function closes the old connection, which ends the earlier request, and
-// returns false. It does not do so if the earlier request has been sent to a worker and is not idempotent.
-bool ClientConnection::conflicts_with_open_request(std::string_view client_request_id) {
+// Returns whether a new request with this id can be accepted, and ends an earlier open request with the same
+// id if possible. When a client disconnects and retries on a new connection, the gateway may read the retry
+// before the end of stream of the old connection. In that case this function closes the old connection, which
+// ends the earlier request. An earlier request that is not idempotent and has been sent to a worker is not
+// ended.
+bool ClientConnection::try_free_request_id(std::string_view client_request_id) {
   const ClientRequest* open = context_.requests.find(client_request_id);
-  if (!open) return false;
+  if (!open) return true;
   const Route& route = context_.settings.policy_settings.routes[open->request.route];
   const bool may_repeat = open->attempts_sent == 0 || route.idempotency == Idempotency::idempotent;
   ClientConnection* other = open->connection();
-  if (!may_repeat || other == this || !other->peer_has_disconnected()) return true;
+  if (!may_repeat || other == this || !other->peer_has_disconnected()) return false;
   other->close(ClientCloseReason::client_eof);
-  return false;
+  return true;
 }
 
 ClientRequest& ClientConnection::enqueue_request() {
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -76,10 +76,10 @@
   bool nothing_to_read() const { return stream_.nothing_to_read(); }
   bool peer_has_disconnected() const { return stream_.peer_has_disconnected(); }
 
-  ConnectionTable::Position table_position;  // maintained by ConnectionTable
+  ConnectionTable::Position table_position;  // position in its table; set by ConnectionTable
 
  private:
-  // Read commands.
+  // ---- Reading commands
   std::size_t consume(std::string_view bytes);
   std::size_t discard(std::size_t bytes);
   bool should_pause_reading() const;
@@ -88,11 +88,11 @@
   void handle_request(const resp::Command& command, CommandType type);
   void accept_request(ClientRequest& request, std::size_t command_bytes);
   Duration time_left_of(const RequestMessage& message) const;
-  bool conflicts_with_open_request(std::string_view client_request_id);
+  bool try_free_request_id(std::string_view client_request_id);
   ClientRequest& enqueue_request();
   void respond_to_command(std::string_view response) { enqueue_request().respond({response}); }
 
-  // Write responses.
+  // ---- Writing responses
   void write_first_response(std::initializer_list<std::string_view> parts);
   void write(std::initializer_list<std::string_view> parts);
   void remove_first_request();
@@ -101,7 +101,7 @@
   void account_unwritten_bytes();
   bool is_slow_reader() const;
 
-  // Close the connection.
+  // ---- Closing
   void on_linger_timeout();
   void half_close();
   void discard_responses();
@@ -110,7 +110,7 @@
   ClientContext& context_;
   TcpStream stream_;
   Address peer_;
-  Duration idle_since_;  // see is_idle_for()
+  Duration idle_since_;  // start of the idle time that is_idle_for() checks
   // Commands may have been waiting to be read since this time, because reading was paused or because the
   // connection had not been accepted yet. Empty if all input has been read without delay.
   std::optional<Duration> unread_since_;
--- a/src/net/client_drain.cpp
+++ b/src/net/client_drain.cpp
@@ -14,9 +14,9 @@
 // connections are closed after this period.
 constexpr Duration kAcceptPeriod = 450ms;
 constexpr Duration kCheckInterval = 20ms;
-// After SIGTERM, the platform waits for the longest client timeout (at most 3 s) plus 0.7 s before it may
-// kill the process. Requests must be answered 0.3 s before that, to allow for responses in transit and for
-// delays in the scheduling of the process.
+// After SIGTERM, the deployment platform waits for the longest client timeout (at most 3 s) plus 0.7 s before
+// it may kill the process. Requests must be answered 0.3 s before that, to allow for responses in transit and
+// for delays in the scheduling of the process.
 constexpr Duration kMaxCountedClientTimeout = 3s;
 constexpr Duration kKillDelay = 700ms;
 constexpr Duration kResponseMargin = 300ms;
--- a/src/net/client_drain.hpp
+++ b/src/net/client_drain.hpp
@@ -11,7 +11,7 @@
 
 // Shuts the client side down without losing requests. It accepts connections for as long as the load balancer
 // in front of the gateways may still open some, closes each connection only between two commands, and makes
-// sure that every request is answered before the platform may kill the process.
+// sure that every request is answered before the deployment platform may kill the process.
 class ClientDrain {
  public:
   ClientDrain(ClientContext& context, ClientAcceptor& acceptor);
@@ -28,7 +28,7 @@
 
   ClientContext& context_;
   ClientAcceptor& acceptor_;
-  Duration longest_client_timeout_{0};  // over all routes
+  Duration longest_client_timeout_{0};  // the longest client timeout of any route
   std::function<void()> on_drained_;
   Timer check_timer_;
 };
--- a/src/net/config_reloader.hpp
+++ b/src/net/config_reloader.hpp
@@ -12,7 +12,7 @@
 
   // Loads the configuration and applies it. An invalid file changes nothing. The file may still be incomplete
   // when the reload is requested, and no second request follows. A failed reload is therefore retried for
-  // 4 s, the time within which the platform expects the new configuration to take effect.
+  // 4 s, the time within which the deployment platform expects the new configuration to take effect.
   void reload();
 
  private:
--- a/src/net/connection_limiter.cpp
+++ b/src/net/connection_limiter.cpp
@@ -17,10 +17,10 @@
 constexpr Duration kIdleTimeout = 2s;
 constexpr Duration kIdleCheckInterval = 250ms;
 // The limit on connections that have carried requests, as a fraction of the connection limit. If they use
-// more than a third of the file descriptors, the platform lets no further clients reach this gateway. The
-// limit is three quarters of that third. This is about a quarter of the descriptors, or two fifths of the
-// connection limit, which is five eighths of the descriptors that connections may use (see gateway.cpp).
-// Above the limit, the idle connection that was used least recently is closed.
+// more than a third of the file descriptors, the deployment platform routes no further clients to this
+// gateway. The limit is three quarters of that third. This is about a quarter of the descriptors, or two
+// fifths of the connection limit, which is five eighths of the descriptors that connections may use (see
+// gateway.cpp). Above the limit, the idle connection that was used least recently is closed.
 constexpr std::size_t kRequestConnectionsNumerator = 2;
 constexpr std::size_t kRequestConnectionsDenominator = 5;
 
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -107,14 +107,14 @@
   release_blocked_results();
   const bool blocked = draining_connection_ && source != draining_connection_.get() &&
                        draining_connection_->has_pending_call(result.name);
-  (blocked ? blocked_results_ : results_).push_back(std::move(result));
+  (blocked ? blocked_results_ : ready_results_).push_back(std::move(result));
 }
 
 // Moves the results that are no longer held back to the delivery queue.
 void CounterClient::release_blocked_results() {
   std::erase_if(blocked_results_, [&](CounterResult& result) {
     if (draining_connection_ && draining_connection_->has_pending_call(result.name)) return false;
-    results_.push_back(std::move(result));
+    ready_results_.push_back(std::move(result));
     return true;
   });
 }
@@ -124,9 +124,9 @@
 void CounterClient::deliver_results() {
   release_blocked_results();
   if (std::exchange(delivering_, true)) return;
-  while (!results_.empty()) {
-    const CounterResult result = std::move(results_.front());
-    results_.pop_front();
+  while (!ready_results_.empty()) {
+    const CounterResult result = std::move(ready_results_.front());
+    ready_results_.pop_front();
     listener_.on_counter_reply({result.name, result.outcome, result.total});
   }
   delivering_ = false;
--- a/src/net/counter_client.hpp
+++ b/src/net/counter_client.hpp
@@ -55,9 +55,10 @@
   std::unique_ptr<CounterConnection> connection_;
   // The connection to the previous address, or null.
   std::unique_ptr<CounterConnection> draining_connection_;
-  // Results that are not reported yet, in the order of delivery.
-  std::deque<CounterResult> results_;
-  // Results that are held back because draining_connection_ has a pending call for the same name.
+  // Results that are ready to be reported to the listener, in this order.
+  std::deque<CounterResult> ready_results_;
+  // Results that must not be reported yet, because draining_connection_ has a pending call for the same name.
+  // They move to ready_results_ when that call ends.
   std::deque<CounterResult> blocked_results_;
   bool delivering_ = false;  // deliver_results() is running
   Duration backoff_{0};      // the latest delay before a reconnect, 0 after a connection that has responded
--- a/src/net/counter_connection.cpp
+++ b/src/net/counter_connection.cpp
@@ -16,13 +16,13 @@
 // idle for about 10 s.
 constexpr Duration kHeartbeatInterval = 2s;
 // A connection is closed if calls are pending and no response was received for this many call timeouts. An
-// overloaded service still answers the calls in order. If its host has failed, the connection stays open, but
-// no response ever arrives.
+// overloaded service still answers the calls in order. If the host of the service has failed, the connection
+// stays open, but no response ever arrives.
 constexpr int kInactivityCallTimeouts = 3;
 // While a response is incomplete, more of it must arrive within the call timeout divided by this number.
 constexpr int kResponseGapDivisor = 2;
 
-// The count after an addition; empty if the reply is not a finite number.
+// Returns the count after an addition, or nothing if the reply is not a finite number.
 std::optional<double> parse_total(const resp::Reply& reply) {
   if (reply.type != '$') return std::nullopt;
   double total = 0;
--- a/src/net/counter_connection.hpp
+++ b/src/net/counter_connection.hpp
@@ -25,7 +25,7 @@
   inactive,         // no response was received for several call timeouts while calls were pending
   address_changed,  // the configured address of the counter service has changed
 };
-// The reason code that is written to the log.
+// Returns the reason code that is written to the log.
 const char* to_string(CounterCloseReason reason);
 
 // How a call to the counter service ended.
@@ -89,7 +89,7 @@
   std::deque<Call> calls_;          // the calls without a response, oldest first
   std::size_t enqueued_bytes_ = 0;  // bytes written or buffered for writing
   std::size_t responses_ = 0;       // number of responses received
-  Duration last_response_at_;       // time of the last response or of the first call after it, if later
+  Duration last_response_at_;       // time of the last response, or of the first call written after it
   Timer call_timer_;                // fires when the connect or the oldest unreported call times out
   Timer heartbeat_timer_;           // fires when a heartbeat or a check for inactivity is due
   Timer response_gap_timer_;        // fires when the rest of an incomplete response is late
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -58,16 +58,16 @@
     return;
   }
   stream_.read(events, [&](std::string_view bytes) {
-    return response_.consume(bytes, [&](std::string_view body) { on_body(body); });
+    return response_parser_.consume(bytes, [&](std::string_view body) { on_body(body); });
   });
   if (closed_) return;
-  if (malformed_ || response_.stage() == HttpResponseParser::Stage::malformed)
+  if (malformed_ || response_parser_.stage() == HttpResponseParser::Stage::malformed)
     return owner_.on_watch_end(*this, WatchCloseReason::malformed_response);
-  const int status = response_.status();
+  const int status = response_parser_.status();
   const bool is_interim = status / 100 == 1;
   if (status != 0 && !is_interim && status != kStatusOk)
     return owner_.on_watch_end(*this, WatchCloseReason::unexpected_status);
-  if (response_.stage() == HttpResponseParser::Stage::complete)
+  if (response_parser_.stage() == HttpResponseParser::Stage::complete)
     return owner_.on_watch_end(*this, WatchCloseReason::response_complete);
   if (!stream_.has_ended(events)) return;
   const bool closed_by_server = stream_.connection_end() == ConnectionEnd::peer_closed;
@@ -76,7 +76,7 @@
 }
 
 void DiscoveryWatch::on_body(std::string_view bytes) {
-  if (response_.status() != kStatusOk || malformed_ || closed_) return;
+  if (response_parser_.status() != kStatusOk || malformed_ || closed_) return;
   const auto on_object = [&](std::string_view text) {
     if (closed_) return;
     ++objects_;
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -27,7 +27,7 @@
   refreshed,        // a new watch requests the full list
   address_changed,  // the configured address of discovery has changed
 };
-// The reason code that is written to the log.
+// Returns the reason code that is written to the log.
 const char* to_string(WatchCloseReason reason);
 
 class DiscoveryWatch : public EventLoop::Handler {
@@ -62,7 +62,7 @@
   Address address_;
   Duration opened_at_;
   TcpStream stream_;
-  HttpResponseParser response_;
+  HttpResponseParser response_parser_;
   JsonSplitter splitter_;
   std::size_t objects_ = 0;  // number of JSON objects received
   bool malformed_ = false;
--- a/src/net/endpoint_discovery.cpp
+++ b/src/net/endpoint_discovery.cpp
@@ -12,21 +12,21 @@
 using Json = nlohmann::json;
 
 // A watch that has received neither an object nor a heartbeat for this time is inactive and may be broken.
-// Discovery sends a heartbeat every 2 s, and the timeout is a quarter longer than that interval. The platform
-// expects a gateway to know of every change within 6 s, even if the watch that should have reported it is
-// broken. The rest of the 6 s is enough for about six attempts to open another watch.
+// Discovery sends a heartbeat every 2 s, and the timeout is a quarter longer than that interval. The
+// deployment platform expects a gateway to know of every change within 6 s, even if the watch that should
+// have reported it is broken. The rest of the 6 s is enough for about six attempts to open another watch.
 constexpr Duration kWatchIdleTimeout = 2500ms;
 
 // The timing of requests to a local agent. A working agent answers immediately. An agent that has stalled and
-// recovered may answer the requests that it received in the meantime. If it does not, the next request still
-// follows well within the drain period of any worker.
+// recovered may answer the requests that it received in the meantime. If the agent answers none of them, the
+// next request still follows well within the drain period of any worker.
 constexpr Duration kAgentResponseTimeout = 200ms;
 constexpr Duration kMaxAgentBackoff = 400ms;
 
 // The timing of requests to a shared service. The service queues requests, and answers with an error if it
 // does not accept one. Abandoning a request and sending it again would only make the queue longer, so the
 // timeout is long. Because the service may also never answer a request, hedged requests are sent before the
-// timeout: three requests fit into the 6 s above.
+// timeout: three requests fit into the 6 s within which the gateway must know of a change.
 constexpr Duration kSharedResponseTimeout = 10s;
 constexpr Duration kSharedHedgeDelay = 1500ms;
 constexpr Duration kMaxSharedBackoff = 2s;
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -12,7 +12,8 @@
 
 using Json = nlohmann::json;
 
-// In Unix milliseconds. Larger values cannot be valid times and are clamped to this one.
+// The maximum start time of a worker, in Unix milliseconds. Larger values cannot be valid times and are
+// clamped to this one.
 constexpr double kMaxStartTimeMs = 1e14;
 
 // Returns the value of a key, or `fallback` if the key is missing or its value has another type.
@@ -70,7 +71,7 @@
   endpoint.address = address.value_or(Address{});
   endpoint.zone = value_or<std::string>(entry, "site", "");
   endpoint.cell = value_or<std::int64_t>(entry, "block", 0);
-  endpoint.capacity_share = value_or(entry, "share", 1.0);
+  endpoint.relative_capacity = value_or(entry, "share", 1.0);
   endpoint.started_at = parse_start_time(entry);
   return endpoint;
 }
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -17,14 +17,15 @@
   WorkerStatus status = WorkerStatus::ready;
   std::string zone;
   std::int64_t cell = 0;
-  double capacity_share = 1;  // relative to the capacity of a normal worker, which is 1
-  Duration started_at{0};     // when the worker's process started, in Unix time; 0 if long ago or not given
+  double relative_capacity = 1;  // full capacity divided by that of a standard worker
+  Duration started_at{0};  // when the worker's process started, in Unix time; 0 if long ago or not given
 };
 
-// An endpoint list whose entries are not parsed yet. It refers to the JSON that it was read from.
+// An endpoint list whose entries are not parsed yet. `entries` points into the JSON that was passed to
+// parse_endpoint_list().
 struct EndpointList {
   std::optional<std::int64_t> version;
-  bool is_full = false;  // whether the list has every worker; otherwise it has those that changed
+  bool is_full = false;  // true: the list has every worker; false: only those that changed
   const nlohmann::json* entries = nullptr;
 };
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -27,10 +27,10 @@
 constexpr std::size_t kResponseMemoryDivisor = 8;
 
 // How long the gateway waits at startup for a response from discovery, because the cached endpoint list may
-// be outdated. The platform expects a restarted gateway to be ready within 10 s.
+// be outdated. The deployment platform expects a restarted gateway to be ready within 10 s.
 constexpr Duration kDiscoveryStartupTimeout = 9s;
 
-// The maximum number of client and worker connections together.
+// Returns the maximum number of client and worker connections together.
 std::size_t max_connections(const GatewayConfig& config) {
   if (config.max_descriptors <= 2 * kReservedDescriptors) return kReservedDescriptors;
   return config.max_descriptors - kReservedDescriptors;
@@ -240,7 +240,7 @@
   }
   dispatch([&, this] {
     balancer_.on_endpoint(loop_.now(), {id, endpoint.status, endpoint.zone, endpoint.cell,
-                                        endpoint.capacity_share, endpoint.started_at});
+                                        endpoint.relative_capacity, endpoint.started_at});
   });
 }
 
--- a/src/net/gateway.hpp
+++ b/src/net/gateway.hpp
@@ -42,7 +42,7 @@
   // What made the gateway open its frontend.
   enum class StartupTrigger { discovery_responded, discovery_timed_out };
 
-  // Effects
+  // ---- Effects
   void send_attempt(RequestId request, WorkerId worker, Duration timeout) override;
   void reject(RequestId request, Duration retry_after) override;
   void fail(RequestId request) override;
@@ -57,26 +57,26 @@
   void add_to_counter(std::string_view name, double amount, Duration lifetime) override;
   void log_note(std::string_view text) override;
 
-  // Frontend::Listener
+  // ---- Frontend::Listener
   void on_request(Exchange& exchange) override;
   void on_client_disconnect(Exchange& exchange) override;
   void on_deadline_shortened(Exchange& exchange) override;
 
-  // UpstreamPool::Listener
+  // ---- UpstreamPool::Listener
   bool may_send_attempt(RequestId request, std::size_t attempt) override;
   void on_attempt_end(const AttemptEnd& end) override;
   void on_health_check_end(WorkerId worker, Outcome outcome, Duration elapsed) override;
 
-  // EndpointDiscovery::Listener
+  // ---- EndpointDiscovery::Listener
   void on_endpoint_list_begin(EndpointListKind kind) override;
   void on_endpoint(const Endpoint& endpoint) override;
   void on_endpoint_list_end() override;
   void on_first_response() override;
 
-  // CounterClient::Listener
+  // ---- CounterClient::Listener
   void on_counter_reply(const CounterReply& reply) override;
 
-  // GossipSocket::Listener
+  // ---- GossipSocket::Listener
   void on_gossip(int peer, std::string_view bytes) override;
 
   template <typename Event>
--- a/src/net/gateway_config.cpp
+++ b/src/net/gateway_config.cpp
@@ -25,7 +25,7 @@
   return json;
 }
 
-// The value of a key; an empty string if the key is missing.
+// Returns the value of a key, or an empty string if the key is missing.
 std::string get_string(const Json& object, const char* key) {
   const auto found = object.find(key);
   if (found == object.end()) return {};
@@ -33,7 +33,7 @@
   return found->get<std::string>();
 }
 
-// The value of a key or of an environment variable; `source` decides which of them takes precedence.
+// Returns the value of a key or of an environment variable; `source` decides which of them takes precedence.
 std::string get_string_or_variable(const Json& object, const char* key, const char* variable,
                                    ConfigSource source) {
   const char* from_variable = std::getenv(variable);
@@ -76,7 +76,7 @@
   return addresses;
 }
 
-// A number in the object `limits`; `fallback` if it is missing, and 0 if it is negative.
+// Returns a number in the object `limits`, `fallback` if the number is missing, or 0 if it is negative.
 std::size_t get_limit(const Json& object, const char* key, std::size_t fallback) {
   const auto limits = object.find("limits");
   if (limits == object.end() || !limits->is_object()) return fallback;
@@ -85,7 +85,7 @@
   return static_cast<std::size_t>(std::max(0.0, limit->get<double>()));
 }
 
-// The configured number of file descriptors, limited to the number that the system permits.
+// Returns the configured number of file descriptors, limited to the number that the system permits.
 std::size_t get_max_descriptors(const Json& object) {
   rlimit system_limit{};
   getrlimit(RLIMIT_NOFILE, &system_limit);
--- a/src/net/gateway_config.hpp
+++ b/src/net/gateway_config.hpp
@@ -20,7 +20,7 @@
   std::size_t max_descriptors = 0;          // limit on the file descriptors of the process
   std::size_t memory_limit_bytes = 0;       // limit on the memory of the process
   std::optional<Address> counter;           // address of the counter service; empty if none is used
-  std::optional<Address> gossip_listen;     // address that receives gossip; empty: no gossip
+  std::optional<Address> gossip_listen;     // address that receives gossip; empty if none is used
   std::vector<Address> gossip_peers;        // addresses of all gateways, indexed by gateway number
   std::optional<Address> gossip_broadcast;  // address that reaches all gateways
   nlohmann::json cached_endpoints;          // the cached endpoint list; null if there is none
@@ -30,8 +30,8 @@
 // The configuration lacks a required key, or a part of it is invalid.
 class ConfigError : public std::runtime_error {
  public:
-  // `key` is the key or environment variable at fault, or empty if the file as a whole is. `problem` is one
-  // line of text.
+  // `key` is the key or environment variable at fault, or empty if the file as a whole is at fault. `problem`
+  // is one line of text.
   ConfigError(std::string key, const std::string& problem)
       : std::runtime_error("configuration: " + problem), key_(std::move(key)) {}
   const std::string& key() const { return key_; }
--- a/src/net/gossip_socket.cpp
+++ b/src/net/gossip_socket.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxMessageBytes = 256;
-// The number of messages received per event, so that a flood of messages does not block the event loop.
+// The maximum number of messages received per event, so that a flood of messages does not block the event
+// loop.
 constexpr int kMaxMessagesPerEvent = 64;
 
 }  // namespace
@@ -61,7 +62,7 @@
   loop_.requeue(token_, events);
 }
 
-// The number of the peer with that address; empty if there is none.
+// Returns the number of the peer with that address, or nothing if there is none.
 std::optional<int> GossipSocket::find_peer(const Address& address) const {
   for (std::size_t i = 0; i < peers_.size(); ++i)
     if (same_address(peers_[i], address)) return static_cast<int>(i);
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -20,7 +20,8 @@
 // A token bucket that holds one token per line.
 class LineBudget {
  public:
-  bool has_token() {
+  // Adds the tokens of the time since the last call. Returns whether there is a token now.
+  bool refill_and_check() {
     const auto now = Clock::now();
     const double elapsed_seconds = std::chrono::duration<double>(now - refilled_at_).count();
     tokens_ = std::min(kBurstLines, tokens_ + kLinesPerSecond * elapsed_seconds);
@@ -47,7 +48,7 @@
 void log(const char* format, ...) {
   static LineBudget budget;
   static unsigned long dropped_lines = 0;
-  if (!budget.has_token() || !can_write_line()) {
+  if (!budget.refill_and_check() || !can_write_line()) {
     ++dropped_lines;
     return;
   }
--- a/src/net/request_error.hpp
+++ b/src/net/request_error.hpp
@@ -20,7 +20,7 @@
   duplicate_request_id,  // a request with this id is already open
 };
 
-// The complete error response as it is sent to the client, including the CRLF.
+// Returns the complete error response as it is sent to the client, including the CRLF.
 std::string_view error_response(RequestError error);
 
 }  // namespace ironquay::net
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -83,8 +83,8 @@
   return attributes;
 }
 
-std::optional<RequestError> read_route_and_plan(const Attributes& attributes, CommandType type,
-                                                const DecodedSettings& settings, RequestMessage& request) {
+std::optional<RequestError> parse_route_and_plan(const Attributes& attributes, CommandType type,
+                                                 const DecodedSettings& settings, RequestMessage& request) {
   const auto route = settings.route_index.find(attributes.route);
   if (route == settings.route_index.end()) return RequestError::unknown_route;
   const auto plan = settings.plan_index.find(attributes.plan);
@@ -100,8 +100,8 @@
   return std::nullopt;
 }
 
-std::optional<RequestError> read_timeout(const Attributes& attributes, const DecodedSettings& settings,
-                                         RequestMessage& request) {
+std::optional<RequestError> parse_client_timeout(const Attributes& attributes,
+                                                 const DecodedSettings& settings, RequestMessage& request) {
   double timeout_ms = 0;
   const bool is_number = parse_number(attributes.timeout_ms, timeout_ms);
   // The comparison is negated so that NaN is rejected as well.
@@ -111,17 +111,17 @@
   return std::nullopt;
 }
 
-std::optional<RequestError> read_units(const Attributes& attributes, const DecodedSettings& settings,
-                                       RequestMessage& request) {
+std::optional<RequestError> parse_units(const Attributes& attributes, const DecodedSettings& settings,
+                                        RequestMessage& request) {
   const bool is_number = parse_number(attributes.units, request.units);
   const bool in_range = request.units > 0 && request.units <= settings.policy_settings.max_units;
   if (!is_number || !in_range) return RequestError::invalid_units;
   return std::nullopt;
 }
 
-// Reads the customer's gateways and checks that this gateway is one of them.
-std::optional<RequestError> read_gateways(const Attributes& attributes, const PolicySettings& settings,
-                                          RequestMessage& request) {
+// Parses the customer's gateways and checks that this gateway is one of them.
+std::optional<RequestError> parse_gateways(const Attributes& attributes, const PolicySettings& settings,
+                                           RequestMessage& request) {
   const int gateways = std::max(1, settings.gateway_count);
   int& spread = request.gateway_spread;
   if (!parse_number(attributes.gateway_spread, spread) || spread < 1 || spread > gateways)
@@ -154,10 +154,10 @@
   if (!is_customer(request.customer)) return RequestError::invalid_customer;
   if (!is_request_id(request.client_request_id)) return RequestError::invalid_request_id;
   const Attributes attributes = split_attributes(request.attributes);
-  if (const auto error = read_route_and_plan(attributes, type, settings, request)) return *error;
-  if (const auto error = read_timeout(attributes, settings, request)) return *error;
-  if (const auto error = read_units(attributes, settings, request)) return *error;
-  if (const auto error = read_gateways(attributes, settings.policy_settings, request)) return *error;
+  if (const auto error = parse_route_and_plan(attributes, type, settings, request)) return *error;
+  if (const auto error = parse_client_timeout(attributes, settings, request)) return *error;
+  if (const auto error = parse_units(attributes, settings, request)) return *error;
+  if (const auto error = parse_gateways(attributes, settings.policy_settings, request)) return *error;
   request.is_retry = attributes.is_retry == "1";
   return request;
 }
--- a/src/net/resp.cpp
+++ b/src/net/resp.cpp
@@ -10,8 +10,9 @@
 // Otherwise the parser could wait for a line end that never arrives.
 constexpr std::size_t kMaxLengthDigits = 16;
 
-// Reads the line that starts at `offset` into `text`, without its CRLF, and advances `offset` past the CRLF.
-ParseStatus read_line(std::string_view bytes, std::size_t& offset, std::string_view& text) {
+// Parses the line that starts at `offset` and stores it in `text`, without its CRLF, and advances `offset`
+// past the CRLF.
+ParseStatus parse_line(std::string_view bytes, std::size_t& offset, std::string_view& text) {
   const auto end = bytes.find('\n', offset);
   if (end == std::string_view::npos)
     return bytes.size() - offset > kMaxLineBytes ? ParseStatus::malformed : ParseStatus::incomplete;
@@ -28,14 +29,15 @@
   return !text.empty() && error == std::errc() && end == last && length >= -1 && length <= max;
 }
 
-// Reads a line that consists of the type byte and a length, which is -1 for null, and advances `offset` past
+// Parses a line that consists of the type byte and a length, which is -1 for null, and advances `offset` past
 // it.
-ParseStatus read_length(std::string_view bytes, std::size_t& offset, char type, long max, long& length) {
+ParseStatus parse_length_line(std::string_view bytes, std::size_t& offset, char type, long max,
+                              long& length) {
   if (offset >= bytes.size()) return ParseStatus::incomplete;
   if (bytes[offset] != type) return ParseStatus::malformed;
   std::string_view text;
   std::size_t line_offset = offset + 1;
-  const ParseStatus status = read_line(bytes, line_offset, text);
+  const ParseStatus status = parse_line(bytes, line_offset, text);
   if (status == ParseStatus::incomplete && bytes.size() - offset > kMaxLengthDigits)
     return ParseStatus::malformed;
   if (status != ParseStatus::complete) return status;
@@ -44,11 +46,12 @@
   return ParseStatus::complete;
 }
 
-ParseStatus read_bulk_string(std::string_view bytes, std::size_t& offset, Element& element,
-                             std::size_t max_value_bytes) {
+ParseStatus parse_bulk_string(std::string_view bytes, std::size_t& offset, Element& element,
+                              std::size_t max_value_bytes) {
   const std::size_t start = offset;
   long length = 0;
-  const ParseStatus status = read_length(bytes, offset, '$', static_cast<long>(max_value_bytes), length);
+  const ParseStatus status =
+      parse_length_line(bytes, offset, '$', static_cast<long>(max_value_bytes), length);
   if (status != ParseStatus::complete) return status;
   element.is_null = length < 0;
   if (!element.is_null) {
@@ -64,31 +67,31 @@
 
 bool is_line_type(char type) { return type == '+' || type == '-' || type == ':'; }
 
-// Reads a load report or a cost, which may be a line of another type instead of a bulk string. The value of
+// Parses a load report or a cost, which may be a line of another type instead of a bulk string. The value of
 // such a line cannot be used, but it can be skipped.
-ParseStatus read_bulk_string_or_line(std::string_view bytes, std::size_t& offset, Element& element,
-                                     std::size_t max_value_bytes) {
+ParseStatus parse_bulk_string_or_line(std::string_view bytes, std::size_t& offset, Element& element,
+                                      std::size_t max_value_bytes) {
   if (offset >= bytes.size()) return ParseStatus::incomplete;
-  if (bytes[offset] == '$') return read_bulk_string(bytes, offset, element, max_value_bytes);
+  if (bytes[offset] == '$') return parse_bulk_string(bytes, offset, element, max_value_bytes);
   if (!is_line_type(bytes[offset])) return ParseStatus::malformed;
   const std::size_t start = offset++;
-  const ParseStatus status = read_line(bytes, offset, element.text);
+  const ParseStatus status = parse_line(bytes, offset, element.text);
   if (status == ParseStatus::complete) element.raw = bytes.substr(start, offset - start);
   return status;
 }
 
-ParseStatus read_array(std::string_view bytes, std::size_t& offset, Reply& reply,
-                       std::size_t max_value_bytes) {
+ParseStatus parse_array(std::string_view bytes, std::size_t& offset, Reply& reply,
+                        std::size_t max_value_bytes) {
   long elements = 0;
   const long max_elements = static_cast<long>(reply.elements.size());
-  const ParseStatus header_status = read_length(bytes, offset, '*', max_elements, elements);
+  const ParseStatus header_status = parse_length_line(bytes, offset, '*', max_elements, elements);
   if (header_status != ParseStatus::complete) return header_status;
   reply.is_null = elements < 0;
   for (; static_cast<long>(reply.element_count) < elements; ++reply.element_count) {
     Element& element = reply.elements[reply.element_count];
     const bool is_first = reply.element_count == 0;
-    const ParseStatus status = is_first ? read_bulk_string(bytes, offset, element, max_value_bytes)
-                                        : read_bulk_string_or_line(bytes, offset, element, max_value_bytes);
+    const ParseStatus status = is_first ? parse_bulk_string(bytes, offset, element, max_value_bytes)
+                                        : parse_bulk_string_or_line(bytes, offset, element, max_value_bytes);
     reply.trailing_malformed = !is_first && status == ParseStatus::malformed;
     if (reply.trailing_malformed) break;
     if (status != ParseStatus::complete) return status;
@@ -96,12 +99,13 @@
   return ParseStatus::complete;
 }
 
-ParseStatus read_reply(std::string_view bytes, std::size_t& offset, Reply& reply,
-                       std::size_t max_value_bytes) {
-  if (reply.type == '*') return read_array(bytes, offset, reply, max_value_bytes);
+// Parses a reply whose type is already stored in `reply`.
+ParseStatus parse_reply_of_type(std::string_view bytes, std::size_t& offset, Reply& reply,
+                                std::size_t max_value_bytes) {
+  if (reply.type == '*') return parse_array(bytes, offset, reply, max_value_bytes);
   if (reply.type == '$') {
     Element element;
-    const ParseStatus status = read_bulk_string(bytes, offset, element, max_value_bytes);
+    const ParseStatus status = parse_bulk_string(bytes, offset, element, max_value_bytes);
     if (status != ParseStatus::complete) return status;
     reply.text = element.text;
     reply.is_null = element.is_null;
@@ -109,7 +113,7 @@
   }
   if (!is_line_type(reply.type)) return ParseStatus::malformed;
   offset = 1;
-  return read_line(bytes, offset, reply.text);
+  return parse_line(bytes, offset, reply.text);
 }
 
 }  // namespace
@@ -117,13 +121,13 @@
 ParseStatus parse_command(std::string_view bytes, Command& command) {
   long words = 0;
   std::size_t offset = 0;
-  const ParseStatus header_status = read_length(bytes, offset, '*', kMaxWords, words);
+  const ParseStatus header_status = parse_length_line(bytes, offset, '*', kMaxWords, words);
   if (header_status != ParseStatus::complete) return header_status;
   if (words < 1) return ParseStatus::malformed;
   command.word_count = static_cast<std::size_t>(words);
   for (std::size_t i = 0; i < command.word_count; ++i) {
     Element word;
-    const ParseStatus status = read_bulk_string(bytes, offset, word, kMaxValueBytes);
+    const ParseStatus status = parse_bulk_string(bytes, offset, word, kMaxValueBytes);
     if (status == ParseStatus::incomplete && bytes.size() > kMaxCommandBytes) return ParseStatus::malformed;
     if (status != ParseStatus::complete) return status;
     if (word.is_null || offset > kMaxCommandBytes) return ParseStatus::malformed;
@@ -138,7 +142,7 @@
   reply = Reply();
   reply.type = bytes[0];
   std::size_t offset = 0;
-  const ParseStatus status = read_reply(bytes, offset, reply, max_value_bytes);
+  const ParseStatus status = parse_reply_of_type(bytes, offset, reply, max_value_bytes);
   if (status == ParseStatus::complete) reply.wire_bytes = offset;
   return status;
 }
--- a/src/net/resp.hpp
+++ b/src/net/resp.hpp
@@ -18,7 +18,7 @@
 
 // The maximum length of a word in a command, and the default for values in a reply.
 constexpr std::size_t kMaxValueBytes = std::size_t{64} * 1024;
-constexpr std::size_t kMaxWords = 16;  // words in a command
+constexpr std::size_t kMaxWords = 16;  // the maximum number of words in a command
 // The maximum length of a line.
 constexpr std::size_t kMaxLineBytes = 4096;
 // The protocol permits one long word in a command. All other words together are shorter than a line.
@@ -48,7 +48,7 @@
   // The elements, if the reply is an array. The first one is a bulk string, the others may be lines.
   std::array<Element, 4> elements;
   std::size_t element_count = 0;  // the number of elements that have been parsed
-  // An element after the first is malformed, so nothing further on the connection can be parsed.
+  // Whether an element after the first is malformed. Nothing further on the connection can be parsed then.
   bool trailing_malformed = false;
   std::size_t wire_bytes = 0;  // the size of the parsed part of the reply on the wire
 };
--- a/src/net/tcp_stream.hpp
+++ b/src/net/tcp_stream.hpp
@@ -71,8 +71,8 @@
 
   bool connected() const { return connected_; }
   ConnectionEnd connection_end() const { return end_; }
-  // Whether the connection has ended. This includes an event that reports an error or hang-up, even if unread
-  // bytes may remain.
+  // Whether the connection has ended. Returns true also if `events` reports an error or hang-up, even if
+  // unread bytes may remain.
   bool has_ended(std::uint32_t events) const;
   bool all_written() const { return unwritten_.empty(); }
   std::size_t unwritten_bytes() const { return unwritten_.size(); }
@@ -86,8 +86,8 @@
 
  private:
   static constexpr std::size_t kMaxWriteParts = 8;
-  // A connection may fill the read buffer this many times per event. Together, that is more than the largest
-  // message.
+  // A connection may fill the read buffer this many times per event. Together, these reads hold more than the
+  // largest message.
   static constexpr int kMaxReadsPerEvent = 16;
 
   bool is_readable() const { return end_ == ConnectionEnd::none && !paused_; }
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -154,8 +154,8 @@
   if (budget_.exceeded()) close(UpstreamCloseReason::memory_limit, Outcome::malformed_response);
 }
 
-// Returns false if the reply cannot be an answer to the command in flight. The same holds for the three
-// functions below.
+// Returns false if the reply cannot be an answer to the command in flight. The on_..._reply() functions below
+// return false in the same case.
 bool UpstreamConnection::on_reply(const resp::Reply& reply) {
   if (use_ == Use::health_check) return on_health_check_reply(reply);
   return reply.type == '-' ? on_error_reply(reply.text) : on_value_reply(reply);
@@ -225,7 +225,7 @@
   if (use_ != Use::idle) finish(outcome);
 }
 
-bool UpstreamConnection::check_usable() {
+bool UpstreamConnection::close_unless_usable() {
   if (stream_.nothing_to_read()) return true;
   on_events(EventLoop::kReadToEnd);
   return false;
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -30,7 +30,7 @@
   idle_timeout,        // the connection was idle for too long
   connection_limit,    // closed to make room for a new one, or not opened for lack of descriptors
 };
-// The reason code that is written to the log.
+// Returns the reason code that is written to the log.
 const char* to_string(UpstreamCloseReason reason);
 
 // The memory for incomplete responses, which the connections to all workers share.
@@ -85,9 +85,9 @@
   void start_health_check(Duration timeout);
   // Closes the connection. An attempt or health check in flight on it ends with `outcome`.
   void close(UpstreamCloseReason reason, Outcome outcome);
-  // Whether an idle connection can be used: there must be neither bytes nor an end of stream to read. Closes
-  // the connection if it cannot be used.
-  bool check_usable();
+  // Returns whether an idle connection can be used: there must be neither bytes nor an end of stream to read.
+  // Closes the connection if it cannot be used.
+  bool close_unless_usable();
 
   WorkerId worker() const { return worker_; }
   // When the connection became idle; Duration::max() while an attempt or a health check is in flight.
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -12,8 +12,8 @@
 using namespace std::chrono_literals;
 
 // How long a connection stays unused after a response. A worker may send a duplicate response or stray bytes
-// up to 4 ms after a response, and on a reused connection these would be taken for the next response. The
-// delay is five times as long. (docs/incidents/rare-faults.md)
+// up to 4 ms after a response, and on a reused connection these would be taken for the next response. This
+// delay is five times those 4 ms. (docs/incidents/rare-faults.md)
 constexpr Duration kReuseDelay = 20ms;
 // How often connections that were idle for too long are closed.
 constexpr Duration kIdleCheckInterval = 1s;
@@ -64,8 +64,8 @@
   }
 }
 
-// If this gateway lacks descriptors or other resources, the outcome is not_sent, because that says nothing
-// about the health of the worker.
+// If this gateway lacks descriptors or other resources, the outcome is not_sent, because such a failure says
+// nothing about the health of the worker.
 void UpstreamPool::on_send_failure(const Exchange& exchange, std::size_t attempt, WorkerId worker,
                                    int error) {
   const bool refused = error == ECONNREFUSED || error == ENETUNREACH || error == EHOSTUNREACH;
@@ -107,10 +107,10 @@
   std::vector<UpstreamConnection*>& idle = worker.idle_connections;
   const Duration latest_idle_start = loop_.now() - kReuseDelay;
   for (std::size_t i = idle.size(); i-- > 0;) {
-    // check_usable() closes unusable connections, which removes them from the vector.
+    // close_unless_usable() closes unusable connections, which removes them from the vector.
     if (i >= idle.size() || idle[i]->idle_since() > latest_idle_start) continue;
     UpstreamConnection* connection = idle[i];
-    if (!connection->check_usable()) continue;
+    if (!connection->close_unless_usable()) continue;
     std::erase(idle, connection);
     return connection;
   }
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -82,7 +82,7 @@
   ResponseBufferBudget budget_;
   Listener& listener_;
   std::unordered_map<WorkerId, Worker> workers_;
-  std::unordered_map<std::uint64_t, UpstreamConnection*> in_flight_;  // attempts, by in_flight_key()
+  std::unordered_map<std::uint64_t, UpstreamConnection*> in_flight_;  // by in_flight_key() of their attempt
   std::vector<std::unique_ptr<UpstreamConnection>> connections_;
   std::string command_;  // reused for each attempt, to save allocations
   Timer idle_check_timer_;
--- a/test/net/client_disconnect_test.cpp
+++ b/test/net/client_disconnect_test.cpp
@@ -1,8 +1,8 @@
 // Clients that disconnect before their requests are answered. The cases guard against requests that continue
-// after their client has disconnected, and against errors for clients that reconnect and retry. Both depend
-// on the order in which the gateway reads events from several connections. The tests force that order: they
-// send the events while the gateway process is paused (SIGSTOP), or run only the Frontend on an event loop in
-// the test. See also docs/incidents/rare-faults.md.
+// after their client has disconnected, and against errors for clients that reconnect and retry. Both faults
+// depend on the order in which the gateway reads events from several connections. The tests force that order:
+// they send the events while the gateway process is paused (SIGSTOP), or run only the Frontend on an event
+// loop in the test. See also docs/incidents/rare-faults.md.
 #include "support/deployment.hpp"
 #include "support/frontend_fixture.hpp"
 
--- a/test/net/client_half_close_test.cpp
+++ b/test/net/client_half_close_test.cpp
@@ -8,31 +8,33 @@
 
 /// Waits until the gateway half-closes `client`, then immediately sends a request, and checks that the
 /// connection is not reset and the request is not forwarded. `last_open` is a time at which the connection
-/// was still open. `linger_time` is the time for which the gateway reads after the half-close. Returns false,
-/// without further checks, if the machine was so slow that this time may have passed before the request was
-/// sent.
+/// was still open. `min_linger_time` is the time for which the gateway must at least read after the
+/// half-close. Returns false, without further checks, if the machine was so slow that `min_linger_time` may
+/// have passed before the request was sent.
 bool late_request_is_not_reset(Deployment& deployment, TestConnection& client, Clock::time_point last_open,
-                               Milliseconds linger_time) {
+                               Milliseconds min_linger_time) {
   const auto wait_deadline = Clock::now() + kWaitTimeout;
   while (Clock::now() < wait_deadline && !readable(client.fd(), 5ms)) last_open = Clock::now();
   REQUIRE(client.reaches_end());
   client.send(lookup_request("late"));
   const bool was_reset = client.peer_has_reset();
-  if (Clock::now() - last_open > linger_time) return false;
+  if (Clock::now() - last_open > min_linger_time) return false;
   REQUIRE_FALSE(was_reset);
   REQUIRE(deployment.no_attempt_for(30ms));
   return true;
 }
 
 TEST_CASE("a request that arrives while its connection is being closed does not cause a reset") {
-  constexpr Milliseconds kLingerTime = 900ms;      // the gateway lingers for 1 s
-  constexpr Milliseconds kShortLingerTime = 45ms;  // 50 ms when descriptors run short
+  // The gateway lingers for 1 s, or for 50 ms when it runs out of descriptors. The test requires slightly
+  // less.
+  constexpr Milliseconds kMinLingerTime = 900ms;
+  constexpr Milliseconds kMinShortLingerTime = 45ms;
   SECTION("no command") {
     repeat_until_in_time([&] {
       Deployment deployment(1);
       TestConnection ready = deployment.ready_client();
       TestConnection inactive = deployment.connect();
-      return late_request_is_not_reset(deployment, inactive, Clock::now(), kLingerTime);
+      return late_request_is_not_reset(deployment, inactive, Clock::now(), kMinLingerTime);
     });
   }
   SECTION("incomplete command") {
@@ -41,7 +43,7 @@
       TestConnection ready = deployment.ready_client();
       TestConnection partial = deployment.connect();
       partial.send(kPartialCommand);
-      return late_request_is_not_reset(deployment, partial, Clock::now(), kLingerTime);
+      return late_request_is_not_reset(deployment, partial, Clock::now(), kMinLingerTime);
     });
   }
   SECTION("too many idle connections") {
@@ -49,7 +51,7 @@
       Deployment deployment(1);
       deployment.limit_descriptors(64);  // 25 for clients; half of them may be idle
       std::vector<TestConnection> idle = deployment.ready_clients(14);
-      return late_request_is_not_reset(deployment, idle[0], Clock::now(), kLingerTime);
+      return late_request_is_not_reset(deployment, idle[0], Clock::now(), kMinLingerTime);
     });
   }
   SECTION("too few descriptors") {
@@ -59,7 +61,7 @@
       std::vector<TestConnection> idle = deployment.ready_clients(25);
       const auto last_open = Clock::now();
       idle.push_back(deployment.ready_client());
-      return late_request_is_not_reset(deployment, idle[0], last_open, kShortLingerTime);
+      return late_request_is_not_reset(deployment, idle[0], last_open, kMinShortLingerTime);
     });
   }
   SECTION("too many idle connections that have sent requests") {
@@ -74,7 +76,7 @@
         clients.back().send(lookup_with_timeout(std::to_string(i), 0));
         REQUIRE_THAT(clients.back().receive_line(), StartsWith("-BUSY"));
       }
-      return late_request_is_not_reset(deployment, clients[0], last_open, kLingerTime);
+      return late_request_is_not_reset(deployment, clients[0], last_open, kMinLingerTime);
     });
   }
 }
--- a/test/net/drain_deadline_test.cpp
+++ b/test/net/drain_deadline_test.cpp
@@ -1,7 +1,7 @@
-// Deadlines during a drain. After SIGTERM, the platform waits for the longest client timeout (at most 3 s)
-// plus 0.7 s before it may kill the gateway. The cases guard against requests that have no response by then,
-// and against responses that are cut off because the drain ends before a client has read them. See also
-// docs/incidents/rare-faults.md.
+// Deadlines during a drain. After SIGTERM, the deployment platform waits for the longest client timeout (at
+// most 3 s) plus 0.7 s before it may kill the gateway. The cases guard against requests that have no response
+// by then, and against responses that are cut off because the drain ends before a client has read them. See
+// also docs/incidents/rare-faults.md.
 #include <thread>
 
 #include "support/deployment.hpp"
--- a/test/net/drain_test.cpp
+++ b/test/net/drain_test.cpp
@@ -61,7 +61,7 @@
   deployment.gateway.terminate();
   REQUIRE(deployment.gateway.logs("draining"));
   TestConnection late = deployment.ready_client();
-  REQUIRE(late.reaches_end());  // after the response to its PING
+  REQUIRE(late.reaches_end());  // ready_client() has already received the response to its PING
   REQUIRE_FALSE(late.was_reset());
   REQUIRE(idle.reaches_end());
   REQUIRE_FALSE(idle.was_reset());
--- a/test/net/endpoint_discovery_test.cpp
+++ b/test/net/endpoint_discovery_test.cpp
@@ -1,7 +1,7 @@
 // The endpoint list, and the watch that keeps it up to date.
-// The last three cases guard against faults of discovery (docs/incidents/rare-faults.md): a shared service
-// that does not answer one of the requests, a response that is reset in the middle of an object, and a
-// service that never responds while a gateway restarts.
+// The last three cases guard against faults of discovery (docs/incidents/rare-faults.md): (1) a shared
+// service does not answer one of the requests; (2) a response is reset in the middle of an object; (3) a
+// service never responds while a gateway restarts.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
@@ -29,7 +29,7 @@
   Deployment deployment(1);
   deployment.start();
   const TestConnection unanswered = deployment.discovery.accept();
-  const TestConnection also_unanswered = deployment.discovery.accept();  // half a second later
+  const TestConnection also_unanswered = deployment.discovery.accept();  // the gateway's second request
   TestConnection early_client = deployment.connect();
   early_client.send(kPing);
   REQUIRE(early_client.reaches_end());
--- a/test/net/endpoint_list_test.cpp
+++ b/test/net/endpoint_list_test.cpp
@@ -43,7 +43,7 @@
   REQUIRE(endpoint->status == WorkerStatus::ready);
   REQUIRE(endpoint->zone == "a");
   REQUIRE(endpoint->cell == 3);
-  REQUIRE(endpoint->capacity_share == 0.5);
+  REQUIRE(endpoint->relative_capacity == 0.5);
   REQUIRE(endpoint->started_at == std::chrono::milliseconds(1500));
 }
 
--- a/test/net/reload_test.cpp
+++ b/test/net/reload_test.cpp
@@ -1,7 +1,8 @@
 // SIGHUP makes the gateway reload its configuration.
-// The last two cases guard against two faults (docs/incidents/rare-faults.md). SIGHUP arrives while the file
-// is still being written, and no second SIGHUP follows. A second reload returns to the previous address of
-// discovery; the watch that is still open there must stay in use, or the changes that it reports are lost.
+// The last two cases guard against two faults (docs/incidents/rare-faults.md). First: SIGHUP arrives while
+// the file is still being written, and no second SIGHUP follows; the gateway must read the file again by
+// itself. Second: two reloads change the address of discovery and change it back; the watch that is still
+// open at the first address must stay in use, or the changes that it reports are lost.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
--- a/test/net/upstream_connection_test.cpp
+++ b/test/net/upstream_connection_test.cpp
@@ -1,8 +1,8 @@
 // Worker connections that are kept open and reused.
-// The last two cases guard against two faults (docs/incidents/rare-faults.md). A worker sends a duplicate of
-// a reply a few milliseconds after it, which would be taken for the reply to the next request on a connection
-// that is reused immediately. A worker resets a reused connection after it has received a request, which may
-// have been executed and must not be executed twice.
+// The last two cases guard against two faults (docs/incidents/rare-faults.md). First: a worker sends a reply
+// twice, the second time a few milliseconds later; if the connection were reused immediately, the duplicate
+// would be taken for the reply to the next request. Second: a worker resets a reused connection after it has
+// received a request; the request may have been executed, and must not be executed twice.
 #include "support/deployment.hpp"
 
 namespace ironquay::net {
--- a/test/net/upstream_late_connect_test.cpp
+++ b/test/net/upstream_late_connect_test.cpp
@@ -1,5 +1,5 @@
 // Attempts that are no longer valid when their connection is established.
-// A worker with a full listen backlog accepts a connection only after seconds
+// The fault behind the cases: a worker with a full listen backlog accepts a connection only after seconds
 // (docs/incidents/rare-faults.md). An attempt that waits for the connection must not be sent if one of these
 // events happens first: the worker starts to drain (it must get no new requests), the deduplication window
 // ends (the request could be executed twice), or the client disconnects (the result would be useless).
