--- a/src/config/settings_decoder.cpp
+++ b/src/config/settings_decoder.cpp
@@ -73,8 +73,8 @@
   plan.max_concurrent = required<int>(object, "at_once");
   plan.ceiling_rate = required<double>(object, "never_over_rate");
   plan.ceiling_burst = required<double>(object, "hard_burst");
-  plan.overage_value = required<double>(object, "beyond_earns");
-  plan.overage_cost = required<double>(object, "overrun_cost");
+  plan.overage_value_share = required<double>(object, "beyond_earns");
+  plan.overage_cost_share = required<double>(object, "overrun_cost");
   return plan;
 }
 
--- a/src/lab/loadgen/gateway_config_writer.cpp
+++ b/src/lab/loadgen/gateway_config_writer.cpp
@@ -50,8 +50,8 @@
           {"at_once", plan.max_concurrent},
           {"never_over_rate", plan.ceiling_rate},
           {"hard_burst", plan.ceiling_burst},
-          {"beyond_earns", plan.overage_value},
-          {"overrun_cost", plan.overage_cost}};
+          {"beyond_earns", plan.overage_value_share},
+          {"overrun_cost", plan.overage_cost_share}};
 }
 
 Json routes_json(const Scenario& scenario) {
--- a/src/lab/scenario/scenario_parser.cpp
+++ b/src/lab/scenario/scenario_parser.cpp
@@ -148,7 +148,7 @@
   quota.ceiling_rate = section.number("ceiling", 0, kRateRange);
   quota.ceiling_burst =
       section.number("ceiling_burst", kDefaultBurstSeconds * quota.ceiling_rate, kRateRange);
-  quota.overage_cost = section.number("beyond_costs", 0.8, kRateRange);
+  quota.overage_cost_share = section.number("beyond_costs", 0.8, kRateRange);
   scenario.policy_settings.plans.push_back(quota);
   scenario.plans.push_back(demand);
 }
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -42,7 +42,7 @@
 }
 
 void ConcurrencyLimiter::record_failure(Worker& worker, Outcome outcome, Duration elapsed, Duration now) {
-  // The worker has executed the request, so it does not lack capacity.
+  // The worker has executed the request, so the worker does not lack capacity.
   if (outcome == Outcome::malformed_response) return;
   const bool overloaded = outcome == Outcome::timed_out || outcome == Outcome::rejected;
   shrink(worker, overloaded ? kOverloadDecrease : kFailureDecrease, elapsed, now);
--- a/src/policy/concurrency_limiter.hpp
+++ b/src/policy/concurrency_limiter.hpp
@@ -12,7 +12,8 @@
 
 namespace ironquay {
 
-// The latency of a response relative to its route, so that the limiter does not depend on routes.
+// How long a response took, in absolute terms and relative to its route's latency objective. The ratios let
+// the limiter compare responses of different routes.
 struct ResponseTiming {
   Duration elapsed{0};  // time from sending the attempt to its response
   // Latency of the response, scaled to a request of mean size, divided by the route's latency objective.
--- a/src/policy/counter_health.cpp
+++ b/src/policy/counter_health.cpp
@@ -11,8 +11,8 @@
 constexpr Duration kMinBackoff = 250ms, kMaxBackoff = 4s;
 // The call share increases by this amount with each reply in time.
 constexpr double kCallShareIncrease = 0.02;
-// A slow reply or a failure multiplies the call share by one of these factors. The result is limited to the
-// minimum.
+// A slow reply or a failure multiplies the call share by one of these factors, but the share does not fall
+// below kMinCallShare.
 constexpr double kSlowReplyFactor = 0.9, kFailureFactor = 0.7;
 constexpr double kMinCallShare = 1.0 / 64;
 
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -29,9 +29,9 @@
   std::size_t attempt = 0;  // index among the request's attempts
   WorkerId worker = 0;
   Outcome outcome = Outcome::success;
-  Duration elapsed{0};
+  Duration elapsed{0};            // time from sending the attempt to its end
   bool request_finished = false;  // true if the client has got the final answer
-  double actual_units = 0;        // units that the request used as reported by the worker; 0: not reported
+  double actual_units = 0;        // units used, as reported by the worker; 0: not reported
 };
 
 // One entry of an endpoint list.
@@ -41,7 +41,7 @@
   std::string_view zone;
   std::int64_t cell = 0;
   double relative_capacity = 1;  // full capacity divided by that of a standard worker
-  Duration started_at{0};        // when the worker started; 0: long ago, so it is warm
+  Duration started_at{0};        // when the worker started; 0: so long ago that the worker is warm
 };
 
 // The counter service has replied to a call, or the call has failed. Replies for one name arrive in the order
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -153,13 +153,14 @@
   begin_event(now);
   const RequestId id = incoming.id;
   Request& request = add_request(incoming);
-  QuotaSlice& slice = quota_.slice(request.customer, request.plan, incoming.gateway_spread, now);
+  QuotaSlice& slice =
+      quota_.find_or_create_slice(request.customer, request.plan, incoming.gateway_spread, now);
   slice.first_gateway = incoming.first_gateway;
-  const QuotaVerdict verdict = quota_.check(request, slice, incoming.is_retry, now);
+  const QuotaVerdict verdict = quota_.record_and_check(request, slice, incoming.is_retry, now);
   const bool attempt_permitted = quota_.slices().permits_attempt(request, slice);
   if (request.deadline <= now) {
     reject_or_fail(id, settings_.capabilities.max_retry_after);
-  } else if (verdict == QuotaVerdict::take_from_pool && attempt_permitted && now >= slice.next_pool_call) {
+  } else if (verdict == QuotaVerdict::take_from_pool && attempt_permitted && now >= slice.earliest_take) {
     quota_.pool().take_for_request(id, request, slice, now);
   } else {
     const bool within_quota = verdict == QuotaVerdict::within_quota && attempt_permitted;
@@ -177,7 +178,7 @@
   request.customer = std::string(incoming.customer);
   request.units = incoming.units;
   request.queue_rank = queue_rank(request);
-  request.over_quota = true;  // until its units are charged to the quota
+  request.over_quota = true;  // apply_quota() clears this if the request is within its quota
   if (statistics.mean_latency() > 0) overload_.record_rank(request.queue_rank);
   requests_.set_deadline(incoming.id, timing_.answer_deadline(incoming, now_));
   return request;
@@ -195,7 +196,7 @@
 void LoadBalancer::apply_quota(RequestId id, bool within_quota, Duration retry_after) {
   Request& request = requests_.at(id);
   const QuotaPlan& plan = settings_.plans[request.plan];
-  const bool overage_is_profitable = plan.overage_value > plan.overage_cost;
+  const bool overage_is_profitable = plan.overage_value_share > plan.overage_cost_share;
   if (!within_quota && (!overage_is_profitable || load() >= kMaxOverQuotaLoad)) {
     reject_or_fail(id, retry_after);
     return;
@@ -204,7 +205,7 @@
   if (within_quota) {
     quota_.slices().charge(request);
   } else {
-    request.queue_rank = 0;  // sent after all requests within their quotas, which have negative ranks
+    request.queue_rank = 0;  // requests within their quotas have negative ranks and are sent first
   }
   pending_admissions_.push_back(id);
 }
@@ -247,7 +248,7 @@
 
 bool LoadBalancer::try_send(RequestId id) {
   Request& request = requests_.at(id);
-  QuotaSlice& slice = quota_.slice(request.customer, request.plan, 1, now_);
+  QuotaSlice& slice = quota_.find_or_create_slice(request.customer, request.plan, 1, now_);
   quota_.slices().refill(slice, now_);
   if (const auto wait = quota_.slices().ceiling_wait(request, slice)) {
     reject_or_fail(id, *wait);
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -10,7 +10,7 @@
 // The concurrency limit of an ejected worker; see ConcurrencyLimiter for limits below one.
 constexpr double kEjectedLimit = 1.0 / 8;
 
-// A rejection means that the worker's queue is full or that it drains, not that it is faulty.
+// A rejection means that the worker's queue is full or that the worker is draining, not that it is faulty.
 int failure_weight(Outcome outcome) {
   if (outcome == Outcome::rejected) return 0;
   return outcome == Outcome::connect_failed ? kConnectFailureWeight : 1;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -1,5 +1,5 @@
-// Ejects workers whose attempts fail repeatedly. This covers workers that hang, are unreachable, have
-// crashed, or return errors or malformed responses.
+// Ejects workers whose attempts fail repeatedly: workers that hang, are unreachable, have crashed, or return
+// errors or malformed responses.
 #pragma once
 #include "policy/types.hpp"
 #include "policy/worker.hpp"
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -6,8 +6,8 @@
 namespace ironquay {
 namespace {
 
-// The number of recent attempts in the averages of the shares. One of hundreds of gateways sends that many in
-// a few seconds.
+// The number of recent attempts in the averages of the shares. A gateway among hundreds sends this many
+// attempts in a few seconds.
 constexpr double kAttemptWindow = 16;
 // The greatest change of the admitted share by one attempt.
 constexpr double kMaxStep = 0.1;
--- a/src/policy/quota_allocator.cpp
+++ b/src/policy/quota_allocator.cpp
@@ -18,14 +18,15 @@
       slices_(settings, counter_health_),
       pool_(settings, slices_, counter_health_, random, effects) {}
 
-QuotaSlice& QuotaAllocator::slice(const std::string& customer, std::size_t plan, int gateway_spread,
-                                  Duration now) {
+QuotaSlice& QuotaAllocator::find_or_create_slice(const std::string& customer, std::size_t plan,
+                                                 int gateway_spread, Duration now) {
   const auto [slice, created] = slices_.find_or_create(customer, plan, gateway_spread, now);
   if (created) rebalances_.emplace(now + kRebalanceInterval, customer);
   return slice;
 }
 
-QuotaVerdict QuotaAllocator::check(const Request& request, QuotaSlice& slice, bool is_retry, Duration now) {
+QuotaVerdict QuotaAllocator::record_and_check(const Request& request, QuotaSlice& slice, bool is_retry,
+                                              Duration now) {
   slices_.refill(slice, now);
   slices_.record_request(slice, request.units, is_retry);
   pool_.record_request(request.units);
@@ -40,7 +41,7 @@
   if (pool_.should_call_counter(request)) return QuotaVerdict::take_from_pool;
   if (!pool_.may_admit_uncounted(request, slice, now)) return QuotaVerdict::over_quota;
   // The takes for other requests also cover the units of this request (see QuotaPool::take_for_request()), so
-  // it must not reduce the slice's tokens. The tokens added here are subtracted again on admission.
+  // this request must not reduce the slice's tokens. The tokens added here are subtracted again on admission.
   slice.uncounted_units += request.units;
   slice.tokens += request.units;
   return QuotaVerdict::within_quota;
--- a/src/policy/quota_allocator.hpp
+++ b/src/policy/quota_allocator.hpp
@@ -33,17 +33,18 @@
   // All arguments must outlive the allocator.
   QuotaAllocator(const PolicySettings& settings, RandomSource& random, Effects& effects);
 
-  // Returns the customer's slice. A new slice starts with its full part of the burst, and its first rebalance
-  // is scheduled. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's
-  // gateways.
-  QuotaSlice& slice(const std::string& customer, std::size_t plan, int gateway_spread, Duration now);
+  // Returns the customer's slice and marks it as used now. A new slice starts with its part of the burst,
+  // less the pooled share, and its first rebalance is scheduled. `plan`: index into PolicySettings::plans;
+  // `gateway_spread`: number of the customer's gateways.
+  QuotaSlice& find_or_create_slice(const std::string& customer, std::size_t plan, int gateway_spread,
+                                   Duration now);
   QuotaSlices& slices() { return slices_; }
   const QuotaSlices& slices() const { return slices_; }
   QuotaPool& pool() { return pool_; }
 
   // Records an arriving request and decides on it. Client retries never take from the pool: otherwise each
   // retry of a rejected request would call the counter again.
-  QuotaVerdict check(const Request& request, QuotaSlice& slice, bool is_retry, Duration now);
+  QuotaVerdict record_and_check(const Request& request, QuotaSlice& slice, bool is_retry, Duration now);
 
   // The time of the next rebalance; Duration::max() if there are no slices.
   Duration next_rebalance() const;
--- a/src/policy/quota_pool.cpp
+++ b/src/policy/quota_pool.cpp
@@ -19,17 +19,17 @@
 constexpr double kUncountedBurstShare = 0.25;
 // The counter is not called for a contribution below this share of the plan's burst.
 constexpr double kMinContributionShare = 0.1;
-// The rate at which a slice refills is divided by this before it is compared with the measured demand. The
-// rest of the rate is headroom for demand above the measured rate.
+// The measured demand is compared with a slice's refill rate divided by this number. The rest of the rate is
+// headroom for demand above the measured rate.
 constexpr double kDemandHeadroomDivisor = 2;
-// The surplus is the part of the inflow of this many seconds that exceeds demand and its headroom.
+// The surplus is the slice's inflow during this many seconds, less the demand and its headroom.
 constexpr double kSurplusSeconds = 2;
 // The weight of a new request in the mean size of requests.
 constexpr double kMeanUnitsSmoothing = 0.02;
 // Bounds of the error of a total. The counter rounds totals to thousandths, and a total has about seven exact
 // digits.
 constexpr double kCounterRelativeError = 0.0001, kCounterRounding = 0.001;
-// The smallest amount to take, in units. It is also the lower bound of a divisor that could be zero.
+// The smallest amount to take, in units. It also replaces a mean request size of zero as a divisor.
 constexpr double kMinAmount = 1e-3;
 // A slice with fewer tokens than this counts as empty.
 constexpr double kPositiveTokens = 1e-6;
@@ -106,7 +106,7 @@
   if (request == nullptr) return std::nullopt;
   // If the take failed, a slice with any tokens admits one request, as without a pool.
   const double needed = added ? request->units : kPositiveTokens;
-  const double wait = to_seconds(slice->next_pool_call - now);
+  const double wait = to_seconds(slice->earliest_take - now);
   return PoolVerdict{call.request, slice->tokens >= needed, capped_retry_after(wait)};
 }
 
@@ -129,7 +129,7 @@
     slice.uncounted_units = 0;
     if (units_after > pool_burst / 2) exhausted_.erase(call.customer);
   } else {
-    slice.next_pool_call = now + from_seconds((shortfall - units_before) / (slice.pooled_share * plan.rate));
+    slice.earliest_take = now + from_seconds((shortfall - units_before) / (slice.pooled_share * plan.rate));
     mark_exhausted(call.customer, slice, now);
   }
   if (taken < call.units) {
@@ -171,9 +171,9 @@
 // Sends gossip to the customer's other gateways, because some of them may not be able to call the counter.
 void QuotaPool::announce_exhausted(const std::string& customer, const QuotaSlice& slice, Duration now) {
   const double rate_limit = settings_.capabilities.gossip_rate_limit;
-  if (rate_limit <= 0 || now < next_announcement_) return;
+  if (rate_limit <= 0 || now < earliest_announcement_) return;
   const int gateway_spread = static_cast<int>(std::lround(1 / slice.gateway_share));
-  next_announcement_ = now + from_seconds(gateway_spread / kAnnouncementShare / rate_limit);
+  earliest_announcement_ = now + from_seconds(gateway_spread / kAnnouncementShare / rate_limit);
   for (int i = 0; i < gateway_spread; ++i) {
     const int peer = (slice.first_gateway + i) % settings_.gateway_count;
     if (peer != settings_.gateway_index) effects_.send_gossip(peer, ExhaustedPools::encode(customer));
--- a/src/policy/quota_pool.hpp
+++ b/src/policy/quota_pool.hpp
@@ -109,8 +109,8 @@
   ExhaustedPools exhausted_;
   // Calls by counter name, the oldest first.
   std::unordered_map<std::string, std::deque<CounterCall>> pending_calls_;
-  double mean_request_units_ = 0;  // smoothed over all requests that arrive; 0 before the first one
-  Duration next_announcement_{0};  // earliest time at which the next exhausted pool may be announced
+  double mean_request_units_ = 0;      // exponential average over arriving requests; 0 before the first one
+  Duration earliest_announcement_{0};  // time before which no exhausted pool is announced
 };
 
 }  // namespace ironquay
--- a/src/policy/quota_slice.hpp
+++ b/src/policy/quota_slice.hpp
@@ -18,11 +18,11 @@
   double gateway_share = 1;  // this gateway's share of the quota: 1 / number of the customer's gateways
   double rate = 0;  // units per second: this gateway's share of the plan's rate, including the pooled part
   double pooled_share = 0;        // share of the quota that flows into the pool, from 0 to 1
-  double tokens = 0;              // units available; may be negative
-  double demand_rate = 0;         // units per second requested within about kQuotaDemandWindow
+  double tokens = 0;              // units available to requests; may be negative
+  double demand_rate = 0;         // units per second requested, averaged over about kQuotaDemandWindow
   double peak_request_units = 0;  // units of the largest recent request; decays towards the current size
   double uncounted_units = 0;  // units admitted without a call to the counter since the last successful take
-  Duration next_pool_call{0};  // earliest time of the next take; the pool holds too few units until then
+  Duration earliest_take{0};   // time before which no units are taken, because the pool holds too few
   double ceiling_tokens = 0;   // units that may still be forwarded under the plan's hard ceiling
   int attempts_in_flight = 0;  // the customer's attempts in flight from this gateway
   Duration refilled_at{0};     // when QuotaSlices::refill() last ran
--- a/src/policy/quota_slices.cpp
+++ b/src/policy/quota_slices.cpp
@@ -13,7 +13,7 @@
 // Half of the quota flows into the pool if a slice's part of the burst equals this many requests of the
 // largest size. A smaller number would pool less, and slices would reject requests while other slices hold
 // unused units.
-constexpr double kHalfPooledRequests = 8;
+constexpr double kRequestsForHalfPooling = 8;
 // The lowest rate that time_to_cover() assumes, in units per second. It makes the result finite for a slice
 // without inflow.
 constexpr double kMinRate = 1e-3;
@@ -37,7 +37,7 @@
   slice.rate = plan.rate * slice.gateway_share;
   if (plan.rate > 0 && settings_.capabilities.counter && gateway_spread > 1) {
     slice.pooled_share =
-        1 / (1 + plan.burst * slice.gateway_share / (kHalfPooledRequests * settings_.max_units));
+        1 / (1 + plan.burst * slice.gateway_share / (kRequestsForHalfPooling * settings_.max_units));
   }
   // `ceiling_tokens` starts at zero: a full burst after every restart would exceed the ceiling.
   slice.tokens = plan.burst * slice.gateway_share * (1 - effective_pooled_share(slice, now));
--- a/src/policy/quota_slices.hpp
+++ b/src/policy/quota_slices.hpp
@@ -22,8 +22,9 @@
     QuotaSlice& slice;
     bool created;  // whether this lookup created the slice
   };
-  // Returns the customer's slice and marks it as used now. A new slice starts with its full part of the
-  // burst. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the customer's gateways.
+  // Returns the customer's slice and marks it as used now. A new slice starts with its part of the burst,
+  // less the pooled share. `plan`: index into PolicySettings::plans; `gateway_spread`: number of the
+  // customer's gateways.
   Lookup find_or_create(const std::string& customer, std::size_t plan, int gateway_spread, Duration now);
   // Null if there is no slice for the customer.
   QuotaSlice* find(const std::string& customer);
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,7 +1,7 @@
 // Decides which further actions are allowed for a request, so that it does not take effect twice.
 //
 // The LoadBalancer checks these rules before it queues, sends or answers a request. The rules depend only on
-// the idempotency of the route, the earlier attempts of the request and the platform's capabilities.
+// the idempotency of the route, the earlier attempts of the request and PolicySettings::capabilities.
 #pragma once
 #include "policy/request.hpp"
 #include "policy/settings.hpp"
--- a/src/policy/route_statistics.hpp
+++ b/src/policy/route_statistics.hpp
@@ -17,8 +17,8 @@
 
   // `units` divided by the mean units of the route's requests, limited to the range from 0.5 to 4.
   double relative_size(double units) const;
-  // A quantile of the recorded latency ratios, rounded up to the edge of a histogram bin.
-  double latency_quantile(double quantile) const { return latency_ratios_.quantile(quantile); }
+  // The latency ratio that `share` of the responses do not exceed, rounded up to the edge of a histogram bin.
+  double latency_ratio_quantile(double share) const { return latency_ratios_.quantile(share); }
   // Mean latency of a request of mean size, in seconds; 0 before the first response.
   double mean_latency() const { return mean_latency_; }
   // Estimate of the mean_latency() that the route has while no requests wait in queues at the workers, in
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -1,7 +1,7 @@
 // The settings for routing and quota decisions, decoded once when a gateway starts.
 //
 // Every value comes from the operators' settings object; src/config/settings_decoder.cpp maps its keys to
-// these fields.
+// these fields. "The platform" in this file is the operators' environment in which gateways and workers run.
 #pragma once
 #include <string>
 #include <vector>
@@ -30,18 +30,18 @@
   Duration latency_objective{0};
   Duration client_timeout{0};   // time after which the client stops waiting
   double priority_weight = 0;   // value of a response within the latency objective
-  double late_value_share = 0;  // share of that value that a response after the latency objective has
+  double late_value_share = 0;  // share of priority_weight that a response after the objective is worth
 };
 
 // The quota of each customer on this plan, summed over all gateways.
 struct QuotaPlan {
   double rate = 0;           // units per second; 0: unlimited
-  double burst = 0;          // units; the most that unused quota accumulates
-  int max_concurrent = 0;    // attempts in flight; 0: unlimited
-  double ceiling_rate = 0;   // limit on units per second forwarded, even over quota; 0: no ceiling
-  double ceiling_burst = 0;  // units; the most that the unused ceiling accumulates
-  double overage_value = 0;  // share of a request's value that is earned if it is served over quota
-  double overage_cost = 0;   // share of a request's value that is charged if it is served over quota
+  double burst = 0;          // units; the limit to which unused quota accumulates
+  int max_concurrent = 0;    // limit on attempts in flight; 0: unlimited
+  double ceiling_rate = 0;   // limit on units per second sent to workers, even over quota; 0: no ceiling
+  double ceiling_burst = 0;  // units; the limit to which the unused ceiling accumulates
+  double overage_value_share = 0;  // share of a request's value that is earned if it is served over quota
+  double overage_cost_share = 0;   // share of a request's value that is charged if it is served over quota
 };
 
 // What the platform guarantees about workers and the endpoint list.
@@ -76,8 +76,8 @@
   std::string zone;                   // the zone of this gateway
   double max_units = 1;               // the largest number of units that one request may use
   double cross_zone_cost = 0;         // cost of sending an attempt to a worker in another zone; 0: none
-  bool reports_actual_units = false;  // responses report the units that a request actually used
-  Duration tick{0};                   // granularity of the platform's clock
+  bool reports_actual_units = false;  // true if responses report the units that a request used
+  Duration tick{0};                   // granularity of the clocks of gateways and workers
 };
 
 }  // namespace ironquay
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -13,13 +13,13 @@
 // share, so that a gateway that has just started and sends little can observe it too.
 constexpr double kMinTotalRate = 4;
 // kMinTotalRate is divided by the number of gateways, but by no less than this number.
-constexpr int kMinGatewayCount = 8;
+constexpr int kMinRateDivisor = 8;
 // For this number of overload windows after a worker's start, each gateway sends attempts to the worker only
 // in the gateway's own time slot. Longer use of time slots left new workers idle during a long release.
 constexpr int kTimeSlotWindows = 2;
-// An attempt may wait for its connection for up to the overload window divided by this number. Even if all
-// attempts delayed for up to a quarter of the window arrive together, they stay below 1.25 times the worker's
-// capacity.
+// An attempt may wait for its connection for up to the overload window divided by this number. With 4, the
+// attempts that arrive within one window were decided within 1.25 windows, so delays add at most a quarter to
+// the worker's load.
 constexpr int kSendDelayDivisor = 4;
 
 }  // namespace
@@ -39,7 +39,7 @@
   const auto ready_workers = static_cast<double>(inputs.ready_workers);
   const double warm_fraction = static_cast<double>(inputs.warm_workers) / std::max(1.0, ready_workers);
   const double warm_in_subset = std::max(1.0, static_cast<double>(inputs.subset_size) * warm_fraction);
-  const double min_send_rate = kMinTotalRate / std::max(kMinGatewayCount, settings_.gateway_count);
+  const double min_send_rate = kMinTotalRate / std::max(kMinRateDivisor, settings_.gateway_count);
   const double rate = capacity * std::max(min_send_rate, in_subset ? inputs.send_rate / warm_in_subset : 0);
   const double max_budget = std::max(1.0, rate * to_seconds(settings_.contract.overload_window));
   const double elapsed = to_seconds(now - worker.budget_updated_at);
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -4,8 +4,8 @@
 // If the gateways together overload a warming worker, it fails and does not recover. Each gateway therefore
 // keeps a token bucket of attempts for each warming worker, the slow-start budget. It refills at the rate at
 // which this gateway sends attempts to one warm worker, times the share of its full capacity that the warming
-// worker already has. docs/design.md shows that the buckets of all gateways together keep to the platform's
-// limit.
+// worker already has. docs/design.md shows that the attempts permitted by the buckets of all gateways
+// together do not overload the worker.
 #pragma once
 #include "policy/settings.hpp"
 #include "policy/worker.hpp"
--- a/src/policy/timing_policy.cpp
+++ b/src/policy/timing_policy.cpp
@@ -16,14 +16,16 @@
 constexpr Duration kTimeoutTolerance = 10ms;
 // The time-out of an attempt leaves time for a retry only while the load of the fleet is below this value.
 constexpr double kMaxRetryReserveLoad = 0.7;
-// The time-out of an attempt is this multiple of this quantile of the route's latencies.
+// The time-out of an attempt is kTimeoutFactor times the latency that a share of kTimeoutResponseShare of the
+// route's responses does not exceed.
 constexpr double kTimeoutFactor = 3;
-constexpr double kTimeoutQuantile = 0.95;
+constexpr double kTimeoutResponseShare = 0.95;
 // The time-out divided by the latency objective is at least this value, so that ordinary slow responses do
 // not time out.
 constexpr double kMinTimeoutRatio = 0.3;
-// If the ratio is below this value, about a third of the latency objective or more remains for a retry.
-// Otherwise too little remains, and the attempt may take until the request's deadline.
+// If the time-out divided by the latency objective is below this value, about a third of the latency
+// objective or more remains for a retry. Otherwise too little remains, and the attempt may take until the
+// request's deadline.
 constexpr double kMaxTimeoutRatio = 0.65;
 
 }  // namespace
@@ -58,7 +60,7 @@
   const Route& route = settings_.routes[request.route];
   const RouteStatistics& statistics = route_statistics_[request.route];
   const Duration time_to_deadline = request.deadline - now;
-  const double base_timeout_ratio = kTimeoutFactor * statistics.latency_quantile(kTimeoutQuantile);
+  const double base_timeout_ratio = kTimeoutFactor * statistics.latency_ratio_quantile(kTimeoutResponseShare);
   const double timeout_ratio =
       std::max(kMinTimeoutRatio, base_timeout_ratio * statistics.relative_size(request.units));
   const bool retryable = route.idempotency != Idempotency::non_idempotent;
--- a/src/policy/worker.hpp
+++ b/src/policy/worker.hpp
@@ -12,23 +12,23 @@
   std::int64_t cell = 0;
   double relative_capacity = 1;  // full capacity divided by that of a standard worker
   WorkerStatus status = WorkerStatus::ready;
-  Duration started_at{0};  // when the worker started; 0: long ago, so it is warm
+  Duration started_at{0};  // when the worker started; 0: so long ago that the worker is warm
 
   int in_flight = 0;  // this gateway's attempts in flight at the worker
   // The greatest number of attempts that this gateway may have in flight at the worker. If it is below one,
   // the gateway waits between attempts; see ConcurrencyLimiter.
   double concurrency_limit = 0;
-  Duration limit_reduced_at{0};  // when the limit was last reduced
+  Duration limit_reduced_at{0};  // when concurrency_limit was last reduced
   // The number of failures since the last success. Some failures count twice or not at all; see
   // OutlierDetector.
   int consecutive_failures = 0;
   double mean_latency = 0;  // average latency of recent attempts, in seconds
   // The average ratio of an attempt's latency to the mean latency of its route.
   double relative_latency = 1;
-  Duration last_attempt_ended_at{0};  // when an attempt last ended
+  Duration last_attempt_ended_at{0};  // when the last attempt at the worker ended
 
   double slow_start_budget = 0;   // attempts that the warming worker may be sent; see SlowStart
-  Duration budget_updated_at{0};  // when the budget was last increased
+  Duration budget_updated_at{0};  // when SlowStart::refill_budget() last changed the budget
 };
 
 }  // namespace ironquay
--- a/src/policy/worker_registry.hpp
+++ b/src/policy/worker_registry.hpp
@@ -42,8 +42,10 @@
   // Sets the worker's concurrency limit. Callers must not assign Worker::concurrency_limit directly, because
   // the registry keeps the sum of the limits of the ready workers.
   void set_concurrency_limit(Worker& worker, double limit);
+  // Counts an attempt as in flight at the worker.
   void attempt_started(Worker& worker);
-  // Returns false if the worker is unknown or has no attempt in flight.
+  // Counts an attempt at the worker as ended. Returns false if the worker is unknown or has no attempt in
+  // flight.
   bool attempt_ended(WorkerId id);
   // The number of this gateway's attempts in flight at all workers.
   int in_flight() const { return in_flight_; }
--- a/src/policy/worker_selector.cpp
+++ b/src/policy/worker_selector.cpp
@@ -28,8 +28,8 @@
     const std::size_t first = random_.below(candidate_count);
     const std::size_t distance = 1 + random_.below(std::max<std::size_t>(1, candidate_count - 1));
     const std::size_t second = (first + distance) % candidate_count;
-    const bool first_usable = check_candidate(request, first, now);
-    const bool second_usable = check_candidate(request, second, now);
+    const bool first_usable = refill_and_check(request, first, now);
+    const bool second_usable = refill_and_check(request, second, now);
     if (!first_usable && !second_usable) continue;
     const WorkerId first_worker = worker_at_position(first);
     const WorkerId second_worker = worker_at_position(second);
@@ -50,7 +50,7 @@
   return retry_policy_.discards_repeat(route, *allowed.repeated_attempt, worker.zone, worker.cell);
 }
 
-bool WorkerSelector::check_candidate(const Request& request, std::size_t position, Duration now) {
+bool WorkerSelector::refill_and_check(const Request& request, std::size_t position, Duration now) {
   const std::size_t ready_count = workers_.ready().size();
   const WorkerId id = worker_at_position(position);
   // A retry uses a different worker than the previous attempt if more than one is ready.
--- a/src/policy/worker_selector.hpp
+++ b/src/policy/worker_selector.hpp
@@ -37,7 +37,7 @@
  private:
   // Updates the slow-start budget of the worker at this position (see worker_at_position()) and returns
   // whether the request's next attempt can be sent to the worker.
-  bool check_candidate(const Request& request, std::size_t position, Duration now);
+  bool refill_and_check(const Request& request, std::size_t position, Duration now);
   // The worker's attempts in flight plus one for the next attempt, times its relative latency, divided by its
   // relative capacity. Of two workers, the one with the lower score is selected.
   double load_score(WorkerId id) const;
--- a/src/policy/worker_subset.cpp
+++ b/src/policy/worker_subset.cpp
@@ -11,8 +11,8 @@
 // The subset size at a gateway that sends no attempts. The subset must always contain other workers for the
 // retries of a request.
 constexpr double kMinSubsetSize = 4;
-// The initial limit on the attempts that all gateways together have in flight at one worker. It is enough for
-// a few cores, and is divided among the gateways whose subsets contain the worker.
+// The initial limit on the attempts that all gateways together have in flight at one worker. It occupies a
+// few cores, and is divided among the gateways whose subsets contain the worker.
 constexpr double kInitialTotalLimit = 6;
 // The time constant of the exponential average that send_rate() returns.
 constexpr double kRateWindowSeconds = 2;
--- a/test/policy/deadline_test.cpp
+++ b/test/policy/deadline_test.cpp
@@ -23,7 +23,7 @@
 
 // Guards against rejecting client retries as late although they can still meet the latency objective. A
 // client retry may have more time left than the request had when it was first sent, so the time left alone
-// does not show when that was. Seen in the koshi-feed incident.
+// does not show when that was.
 TEST_CASE("a client retry is rejected as late only if the latency objective has passed") {
   Fixture fixture;
   fixture.add_worker(1);
--- a/test/policy/endpoint_list_test.cpp
+++ b/test/policy/endpoint_list_test.cpp
@@ -27,8 +27,8 @@
   for (const WorkerId id : {1, 2}) fixture.add_worker(id);
   WorkerRegistry& workers = fixture.modules.workers();
   workers.attempt_started(workers.at(2));
-  fixture.modules.quota().slice("alone", 0, 1, 0s);
-  fixture.modules.quota().slice("shared", 0, 3, 0s);
+  fixture.modules.quota().find_or_create_slice("alone", 0, 1, 0s);
+  fixture.modules.quota().find_or_create_slice("shared", 0, 3, 0s);
   fixture.balancer.on_endpoint_list_begin(0s, EndpointListKind::full);
   fixture.balancer.on_endpoint_list_end(0s);
   CHECK(workers.size() == 1);  // worker 2 still has an attempt in flight
--- a/test/policy/quota_pool_test.cpp
+++ b/test/policy/quota_pool_test.cpp
@@ -39,7 +39,7 @@
 }
 
 // Guards against gateways that each trim the whole excess near the start of a period and so leave the pool
-// empty (incident: sapporo-main rough-2).
+// empty.
 TEST_CASE("only the first gateway that takes from a pool trims the whole excess over the burst") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(30);
@@ -103,7 +103,7 @@
   fixture.arrive(1, 4, 2);
   CHECK(fixture.effects.counter_amounts.back() > 50);
   fixture.pool_access.reply_to_take("c", 54, kExhaustedTotal, 4, 0s);
-  slice.next_pool_call = 0s;
+  slice.earliest_take = 0s;
   fixture.arrive(2, 4, 2);
   CHECK(fixture.effects.counter_amounts.back() == Approx(4));
 }
@@ -131,7 +131,7 @@
 }
 
 // Guards against oversized takes: while few requests called the counter, a single take of 20 times the pool's
-// burst left the customer's requests rejected for a whole period (incident: the churn day).
+// burst left the customer's requests rejected for a whole period.
 TEST_CASE("a take that also covers uncounted requests is limited to the pool's burst") {
   Fixture fixture;
   QuotaSlice& slice = fixture.slice(3);
--- a/test/policy/quota_slice_test.cpp
+++ b/test/policy/quota_slice_test.cpp
@@ -82,7 +82,7 @@
   CHECK(fixture.effects.actions == std::vector<std::string>{"reject 1"});
   fixture.balancer.on_request(100ms, {2, "c", 0, 1, 1, 0, 3, 3s, false});
   CHECK(fixture.last_action() == "send 2 to 1");
-  CHECK(fixture.modules.quota().slice("c", 1, 3, 100ms).ceiling_tokens == Approx(1));
+  CHECK(fixture.modules.quota().find_or_create_slice("c", 1, 3, 100ms).ceiling_tokens == Approx(1));
 }
 
 TEST_CASE("the gateways share a plan's limit on concurrent attempts, and each attempt counts until it ends") {
--- a/test/policy/retry_policy_test.cpp
+++ b/test/policy/retry_policy_test.cpp
@@ -45,7 +45,7 @@
 }
 
 // Guards against executing a keyed request twice: a worker does not discard a retry that was queued until the
-// deduplication window had ended. Seen in the koshi-feed incident.
+// deduplication window had ended.
 TEST_CASE("a keyed request is retried only in its deduplication scope and window") {
   Fixture fixture;
   fixture.add_worker(1).cell = 3;
@@ -59,7 +59,7 @@
 }
 
 // Guards against writing an attempt that is no longer allowed: an attempt that waits for its connection may
-// be written up to 1.5 s after the decision to send it. Seen in the incident "rare faults".
+// be written up to 1.5 s after the decision to send it.
 TEST_CASE("an attempt that waited for a connection is sent only if it is still allowed") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
--- a/test/policy/slow_start_test.cpp
+++ b/test/policy/slow_start_test.cpp
@@ -87,7 +87,7 @@
 
 // Guards against starving new workers during a long release: if time slots applied during the whole warm-up,
 // each gateway could use a new worker only during its own slot, which is a ninth of the time with nine
-// gateways. Seen in the rating-laval incident.
+// gateways.
 TEST_CASE("after its first overload windows a warming worker may be used outside the time slot") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1, WorkerStatus::ready, 1us);
--- a/test/policy/support.hpp
+++ b/test/policy/support.hpp
@@ -13,10 +13,10 @@
 
 // Records the effects that a LoadBalancer requests.
 struct RecordingEffects : Effects {
-  std::vector<std::string> actions;                 // such as "send 1 to 7": request 1 to worker 7
+  std::vector<std::string> actions;                 // such as "send 1 to 7" for request 1 and worker 7
   std::vector<double> counter_amounts;              // units added by each call to the counter
   std::string counter_name;                         // the name in the last call to the counter
-  std::vector<std::pair<int, std::string>> gossip;  // peer and message
+  std::vector<std::pair<int, std::string>> gossip;  // each message sent, with its peer
 
   void send_attempt(RequestId request, WorkerId worker, Duration) override {
     record("send", request);
@@ -166,7 +166,7 @@
 
   // Returns the customer's slice on plan 0, and creates it if there is none.
   QuotaSlice& slice(int gateway_spread, Duration now = 0s) {
-    return modules.quota().slice(kCustomer, 0, gateway_spread, now);
+    return modules.quota().find_or_create_slice(kCustomer, 0, gateway_spread, now);
   }
 
   // Delivers a request from the customer for route 0 on plan 0.
--- a/test/policy/worker_health_test.cpp
+++ b/test/policy/worker_health_test.cpp
@@ -38,9 +38,8 @@
   CHECK(overloaded.modules.overload().admitted_share() < 0.1);
 }
 
-// Guards against gateways that keep a failing worker overloaded although each of them has only one attempt in
-// flight at it: with a limit below one, a gateway must wait between attempts. Seen in the rating-laval
-// incident with ten gateways.
+// Guards against gateways, such as ten of them, that keep a failing worker overloaded although each of them
+// has only one attempt in flight at it: with a limit below one, a gateway must wait between attempts.
 TEST_CASE("three failures in a row eject a worker, and the gateway then waits between attempts at it") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
@@ -53,8 +52,7 @@
   CHECK(fixture.modules.selector().can_send_to(request, 1, 30s));
 }
 
-// Guards against reducing the limits of healthy workers because requests of many units take long. Seen on
-// sapporo-main big-1.
+// Guards against reducing the limits of healthy workers because requests of many units take long.
 TEST_CASE("the longer latency of a request with more units does not lower the concurrency limit") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
@@ -69,7 +67,7 @@
 }
 
 // Guards against a gateway that, after its process was suspended for seconds, counts all its attempts in
-// flight as time-outs of their workers. Seen in the rating-laval incident.
+// flight as time-outs of their workers.
 TEST_CASE("attempts that were in flight while the process was suspended do not lower concurrency limits") {
   Fixture fixture;
   Worker& worker = fixture.add_worker(1);
