--- a/src/adapter/field_reader.hpp
+++ b/src/adapter/field_reader.hpp
@@ -58,7 +58,7 @@
 
   std::string_view remainder_;
   std::string_view message_name_ = "line";
-  bool at_end_ = false;
+  bool at_end_ = false;  // whether all fields of the line have been read
 };
 
 template <typename T>
--- a/src/adapter/gateway_instance.cpp
+++ b/src/adapter/gateway_instance.cpp
@@ -10,10 +10,10 @@
 namespace ironquay::adapter {
 namespace {
 
-// The bit of the `opts` field that marks a request as a client retry.
-constexpr int kRetryOptionBit = 2;
+// The mask of the bit that marks a request as a client retry in the field `opts` of a CALL message.
+constexpr int kRetryOptionMask = 2;
 
-Outcome read_outcome(FieldReader& fields) {
+Outcome parse_outcome(FieldReader& fields) {
   static const std::map<std::string_view, Outcome> outcomes = {{"pass", Outcome::success},
                                                                {"fault", Outcome::failure},
                                                                {"no_room", Outcome::rejected},
@@ -25,7 +25,7 @@
   return fields.mapped_value("outcome", outcomes);
 }
 
-EndpointListKind read_list_kind(FieldReader& fields) {
+EndpointListKind parse_list_kind(FieldReader& fields) {
   static const std::map<std::string_view, EndpointListKind> kinds = {{"D", EndpointListKind::delta},
                                                                      {"F", EndpointListKind::full},
                                                                      {"C", EndpointListKind::cached},
@@ -33,7 +33,7 @@
   return fields.mapped_value("mode", kinds);
 }
 
-WorkerStatus read_status(FieldReader& fields) {
+WorkerStatus parse_status(FieldReader& fields) {
   static const std::map<std::string_view, WorkerStatus> statuses = {
       {"Ready", WorkerStatus::ready}, {"Terminating", WorkerStatus::draining}, {"Gone", WorkerStatus::gone}};
   return fields.mapped_value("phase", statuses);
@@ -46,9 +46,9 @@
 
 GatewayInstance::GatewayInstance(std::string name, DecodedSettings settings, std::uint64_t seed, Duration now,
                                  ReplyBuilder& reply)
-    : settings_(std::move(settings)),
+    : decoded_settings_(std::move(settings)),
       effects_(std::move(name), reply),
-      balancer_(settings_.policy_settings, fold_seed(seed), now, effects_) {}
+      balancer_(decoded_settings_.policy_settings, fold_seed(seed), now, effects_) {}
 
 void GatewayInstance::deliver(FieldReader& fields, Duration now) {
   try {
@@ -84,13 +84,13 @@
   IncomingRequest request;
   request.id = fields.number<RequestId>("ticket");
   request.gateway_spread = fields.number<int>("spread");
-  request.is_retry = (fields.number_or<int>("opts", 0) & kRetryOptionBit) != 0;
+  request.is_retry = (fields.number_or<int>("opts", 0) & kRetryOptionMask) != 0;
   request.units = fields.number<double>("weight");
   request.first_gateway = fields.number<int>("set_start");
   request.customer = fields.text("customer");
   request.time_left = fields.duration("remaining");
-  request.route = fields.mapped_value("qos", settings_.route_index);
-  request.plan = fields.mapped_value("tariff", settings_.plan_index);
+  request.route = fields.mapped_value("qos", decoded_settings_.route_index);
+  request.plan = fields.mapped_value("tariff", decoded_settings_.plan_index);
   fields.expect_end();
   balancer_.on_request(now, request);
 }
@@ -109,12 +109,12 @@
   result.request = fields.number<RequestId>("ticket");
   result.attempt = fields.number<std::size_t>("copy");
   result.worker = fields.number<WorkerId>("worker");
-  result.outcome = read_outcome(fields);
+  result.outcome = parse_outcome(fields);
   result.elapsed = fields.duration("rtt");
   result.request_finished = fields.flag("done_flag");
   fields.number_or<double>("use_pct", 0);
   result.actual_units = fields.number_or<double>("charged", 0);
-  fields.check_load_report("metrics", settings_.report_fields);
+  fields.check_load_report("metrics", decoded_settings_.report_fields);
   fields.expect_end();
   balancer_.on_attempt_end(now, result);
 }
@@ -132,10 +132,10 @@
 }
 
 void GatewayInstance::receive_health_check_end(FieldReader& fields, Duration now) {
-  const Outcome outcome = read_outcome(fields);
+  const Outcome outcome = parse_outcome(fields);
   const Duration elapsed = fields.duration("rtt");
   const auto worker = fields.number<WorkerId>("worker");
-  fields.check_load_report("metrics", settings_.report_fields);
+  fields.check_load_report("metrics", decoded_settings_.report_fields);
   fields.expect_end();
   balancer_.on_health_check_end(now, worker, outcome, elapsed);
 }
@@ -151,14 +151,14 @@
   CounterReply reply;
   reply.total = fields.number_or<double>("now_at", 0);
   fields.duration_or_zero("rtt");
-  reply.outcome = read_outcome(fields);
+  reply.outcome = parse_outcome(fields);
   reply.name = fields.text("tally_id");
   fields.expect_end();
   balancer_.on_counter_reply(now, reply);
 }
 
 void GatewayInstance::receive_endpoint_list(FieldReader& fields, Duration now) {
-  const EndpointListKind kind = read_list_kind(fields);
+  const EndpointListKind kind = parse_list_kind(fields);
   fields.number_or<double>("epoch", 0);
   pending_endpoints_ = fields.number_or<std::size_t>("hosts", 0);
   fields.expect_end();
@@ -174,7 +174,7 @@
   update.worker = fields.number<WorkerId>("worker");
   update.cell = fields.number_or<std::int64_t>("bay", 0);
   update.zone = fields.text("area");
-  update.status = read_status(fields);
+  update.status = parse_status(fields);
   update.relative_capacity = fields.number_or<double>("share", 1);
   fields.expect_end();
   balancer_.on_endpoint(now, update);
--- a/src/adapter/gateway_instance.hpp
+++ b/src/adapter/gateway_instance.hpp
@@ -41,7 +41,7 @@
   void receive_endpoint_list(FieldReader& fields, Duration now);
   void receive_endpoint(FieldReader& fields, Duration now);
 
-  DecodedSettings settings_;
+  DecodedSettings decoded_settings_;
   ReplyWriter effects_;
   LoadBalancer balancer_;
   std::size_t pending_endpoints_ = 0;  // entries of the announced endpoint list that were not received yet
--- a/src/adapter/reply_builder.hpp
+++ b/src/adapter/reply_builder.hpp
@@ -36,7 +36,7 @@
   void write_instance_name(std::string_view instance);
 
   std::string lines_;
-  std::string current_instance_;  // named last in this reply; empty if none was named
+  std::string current_instance_;  // the instance named last in this reply; empty if none has been named
 };
 
 template <std::integral Integer>
--- a/src/adapter/reply_writer.cpp
+++ b/src/adapter/reply_writer.cpp
@@ -5,7 +5,7 @@
 namespace ironquay::adapter {
 namespace {
 
-// The load balancer has only one timer, so it always has the same name.
+// The name of the load balancer's only timer.
 constexpr std::string_view kTimerName = "wake";
 // The peer name that addresses a message to every peer.
 constexpr std::string_view kAllPeers = "all";
--- a/src/adapter/simulator_session.cpp
+++ b/src/adapter/simulator_session.cpp
@@ -10,7 +10,7 @@
 namespace ironquay::adapter {
 namespace {
 
-DecodedSettings read_settings(FieldReader& fields) {
+DecodedSettings parse_settings(FieldReader& fields) {
   try {
     return decode_settings(nlohmann::json::parse(fields.remainder("config"), nullptr, false));
   } catch (const SettingsError& error) {
@@ -71,7 +71,7 @@
 
 void SimulatorSession::start_instance(FieldReader& fields) {
   const auto seed = fields.number<std::uint64_t>("prng");
-  DecodedSettings settings = read_settings(fields);
+  DecodedSettings settings = parse_settings(fields);
   instances_.erase(instance_name_);
   try {
     const auto started =
--- a/src/adapter/simulator_session.hpp
+++ b/src/adapter/simulator_session.hpp
@@ -25,7 +25,7 @@
   // exception.
   void receive(std::string_view line);
 
-  // Ends the reply to the current batch with the failure of the current instance, and writes it.
+  // Ends the reply to the current batch with the failure of the current instance, and writes the reply.
   void reply_with_panic(const PolicyFailure& failure);
 
   // Handles the end of the input. Throws ProtocolError if the last batch is incomplete.
--- a/src/lab/cli/command.hpp
+++ b/src/lab/cli/command.hpp
@@ -5,7 +5,8 @@
 
 namespace ironquay::lab {
 
-// Exit codes.
+// ---- Exit codes
+
 constexpr int kSuccess = 0;
 constexpr int kUsageError = 2;          // the command line or an input file is invalid
 constexpr int kInvariantViolation = 3;  // the runs completed, but a gateway violated an invariant
--- a/src/lab/cli/interruption.cpp
+++ b/src/lab/cli/interruption.cpp
@@ -22,9 +22,9 @@
   return interrupted;
 }
 
-RunLimit::RunLimit(net::EventLoop& loop, Duration length)
+RunLimit::RunLimit(net::EventLoop& loop, Duration duration)
     : loop_(loop),
-      end_(loop.now() + length),
+      end_(loop.now() + duration),
       interrupted_(interruption_flag()),
       timer_(loop, [this] { check(); }) {
   check();
--- a/src/lab/cli/interruption.hpp
+++ b/src/lab/cli/interruption.hpp
@@ -11,11 +11,11 @@
 // process.
 const std::atomic<bool>& interruption_flag();
 
-// Stops an event loop after `length`, or after SIGINT or SIGTERM. Checks for both every 100 ms.
+// Stops an event loop after `duration`, or after SIGINT or SIGTERM. Checks for both every 100 ms.
 class RunLimit {
  public:
   // `loop` must outlive this object.
-  RunLimit(net::EventLoop& loop, Duration length);
+  RunLimit(net::EventLoop& loop, Duration duration);
 
  private:
   void check();
--- a/src/lab/cli/load_command.cpp
+++ b/src/lab/cli/load_command.cpp
@@ -43,7 +43,7 @@
     for (const std::string& target : target_addresses_)
       load_options_.targets.push_back(parse_loopback_address(target));
     const Scenario scenario = read_scenario_file(scenario_file_);
-    load_options_.length = from_seconds(duration_seconds_);
+    load_options_.duration = from_seconds(duration_seconds_);
     net::EventLoop loop;
     std::cout << generate_load(loop, scenario, load_options_, interruption_flag()).dump() << std::endl;
     return kSuccess;
--- a/src/lab/cli/stub_command.cpp
+++ b/src/lab/cli/stub_command.cpp
@@ -72,7 +72,7 @@
     loop.run();
   }
 
-  // A fault that names no workers affects every worker.
+  // Returns whether the fault affects this stub. A fault that names no workers affects every worker.
   bool affects(const Fault& fault, const StubWorker&) const {
     return fault.workers.empty() ||
            std::find(fault.workers.begin(), fault.workers.end(), worker_index_) != fault.workers.end();
--- a/src/lab/emulator/client_population.cpp
+++ b/src/lab/emulator/client_population.cpp
@@ -50,11 +50,11 @@
                                    GatewayFleet& gateways, TrafficStatistics& statistics)
     : events_(events),
       scenario_(scenario),
-      arrivals_(seed, "arrivals"),
-      choices_(seed, "choices"),
+      arrival_random_(seed, "arrivals"),
+      client_random_(seed, "choices"),
       gateways_(gateways),
       statistics_(statistics),
-      customers_(make_customers(scenario, choices_)),
+      customers_(make_customers(scenario, client_random_)),
       max_burst_factors_(max_burst_factors(scenario)) {}
 
 void ClientPopulation::start() {
@@ -67,7 +67,8 @@
   double factor = 1;
   for (const Fault& fault : scenario_.faults) {
     if (fault.kind != FaultKind::burst || fault.plan != plan) continue;
-    const bool active = events_.now() >= fault.start_time && events_.now() < fault.start_time + fault.length;
+    const bool active =
+        events_.now() >= fault.start_time && events_.now() < fault.start_time + fault.duration;
     if (active) factor = std::max(factor, fault.factor);
   }
   return factor;
@@ -80,23 +81,24 @@
   if (customer.request_rate <= 0) return;
   const double max_factor = max_burst_factors_[customer.plan];
   const double mean_interval = 1 / (customer.request_rate * max_factor);
-  events_.schedule_in(from_seconds(arrivals_.exponential(mean_interval)), [this, customer_index, max_factor] {
-    if (events_.now() > scenario_.length) return;
-    const LogicalRequest request = draw_request(customer_index);
-    const double burst_factor = current_burst_factor(customer_at(customer_index).plan);
-    if (arrivals_.chance(burst_factor / max_factor)) start_request(request);
-    schedule_arrival(customer_index);
-  });
+  events_.schedule_in(from_seconds(arrival_random_.exponential(mean_interval)),
+                      [this, customer_index, max_factor] {
+                        if (events_.now() > scenario_.duration) return;
+                        const LogicalRequest request = draw_request(customer_index);
+                        const double burst_factor = current_burst_factor(customer_at(customer_index).plan);
+                        if (arrival_random_.chance(burst_factor / max_factor)) start_request(request);
+                        schedule_arrival(customer_index);
+                      });
 }
 
 // Draws the route and the units of a customer's next request.
 ClientPopulation::LogicalRequest ClientPopulation::draw_request(int customer) {
   LogicalRequest request;
   request.customer = customer;
-  request.route =
-      arrivals_.weighted_index(scenario_.routes, [](const RouteTraffic& route) { return route.weight; });
+  request.route = arrival_random_.weighted_index(scenario_.routes,
+                                                 [](const RouteTraffic& route) { return route.weight; });
   const auto max_units = static_cast<std::size_t>(scenario_.policy_settings.max_units);
-  request.units = 1 + static_cast<double>(arrivals_.below(max_units));
+  request.units = 1 + static_cast<double>(arrival_random_.below(max_units));
   request.started_at = events_.now();
   request.remaining_retries = scenario_.clients.max_retries;
   return request;
@@ -136,7 +138,8 @@
 // is running.
 EmulatedGateway* ClientPopulation::choose_gateway(const Customer& customer) {
   const double exponent = 1 + 2 * scenario_.assignment.skew;
-  const int distance = static_cast<int>(std::pow(choices_.uniform(), exponent) * customer.gateway_spread);
+  const int distance =
+      static_cast<int>(std::pow(client_random_.uniform(), exponent) * customer.gateway_spread);
   for (int i = 0; i < customer.gateway_spread; ++i) {
     const int offset = (customer.preferred_offset + distance + i) % customer.gateway_spread;
     const int index = (customer.first_gateway + offset) % scenario_.gateway_count();
@@ -166,7 +169,7 @@
   client_request.on_response = [this, request](const GatewayResponse& response) {
     on_response(request, response);
   };
-  if (choices_.chance(scenario_.clients.abandon_probability))
+  if (client_random_.chance(scenario_.clients.abandon_probability))
     schedule_disconnect(request, id, gateway, remaining_time);
   gateway.receive_request(std::move(client_request));
 }
@@ -174,7 +177,7 @@
 // Schedules a disconnection of the client at a random time within `remaining_time`.
 void ClientPopulation::schedule_disconnect(const LogicalRequest& request, RequestId id,
                                            EmulatedGateway& gateway, Duration remaining_time) {
-  const Duration delay = from_seconds(to_seconds(remaining_time) * choices_.uniform());
+  const Duration delay = from_seconds(to_seconds(remaining_time) * client_random_.uniform());
   events_.schedule_in(delay, [this, request, id, &gateway] {
     if (gateway.disconnect_client(id)) finish_request(request, RequestOutcome::failed);
   });
@@ -195,10 +198,10 @@
   if (request.remaining_retries == 0 || !should_retry(response, route))
     return finish_request(request, outcome_of(response, events_.now() - request.started_at, route));
   --request.remaining_retries;
-  const bool follows_retry_after =
-      response.retry_after > Duration(0) && choices_.chance(scenario_.clients.follow_retry_after_probability);
+  const bool follows_retry_after = response.retry_after > Duration(0) &&
+                                   client_random_.chance(scenario_.clients.follow_retry_after_probability);
   const Duration delay =
-      follows_retry_after ? response.retry_after : choices_.jittered(scenario_.clients.backoff);
+      follows_retry_after ? response.retry_after : client_random_.jittered(scenario_.clients.backoff);
   events_.schedule_in(delay, [this, request] { send(request); });
 }
 
@@ -210,8 +213,8 @@
 void ClientPopulation::rotate_preferred_gateways() {
   for (Customer& customer : customers_)
     customer.preferred_offset =
-        static_cast<int>(choices_.below(static_cast<std::size_t>(customer.gateway_spread)));
-  if (events_.now() < scenario_.length)
+        static_cast<int>(client_random_.below(static_cast<std::size_t>(customer.gateway_spread)));
+  if (events_.now() < scenario_.duration)
     events_.schedule_in(scenario_.assignment.rotation_period, [this] { rotate_preferred_gateways(); });
 }
 
--- a/src/lab/emulator/client_population.hpp
+++ b/src/lab/emulator/client_population.hpp
@@ -57,8 +57,8 @@
 
   EventQueue& events_;
   const Scenario& scenario_;
-  RandomStream arrivals_;
-  RandomStream choices_;
+  RandomStream arrival_random_;
+  RandomStream client_random_;
   GatewayFleet& gateways_;
   TrafficStatistics& statistics_;
   std::vector<Customer> customers_;        // never resized: requests hold views of the customers' names
--- a/src/lab/emulator/emulated_counter.cpp
+++ b/src/lab/emulator/emulated_counter.cpp
@@ -45,7 +45,7 @@
 
 void EmulatedCounter::inject(const Fault& fault) {
   begin_fault(fault);
-  events_.schedule_in(fault.length, [this, kind = fault.kind, clears_counter = fault.clears_counter] {
+  events_.schedule_in(fault.duration, [this, kind = fault.kind, clears_counter = fault.clears_counter] {
     end_fault(kind, clears_counter);
   });
 }
--- a/src/lab/emulator/emulated_counter.hpp
+++ b/src/lab/emulator/emulated_counter.hpp
@@ -26,7 +26,7 @@
   // Adds `amount` to the total `name`. The total expires `lifetime` after its first use. A call that times
   // out at the gateway is still executed, unless a fault prevents that.
   void add(int gateway, std::string_view name, double amount, Duration lifetime, const OnResult& on_result);
-  // Begins a fault of one of the counter_* kinds, which ends after its length.
+  // Begins a fault of one of the counter_* kinds, which ends after its duration.
   void inject(const Fault& fault);
   // The number of calls to add(), including those that failed.
   std::uint64_t calls() const { return calls_; }
@@ -48,12 +48,11 @@
 
   EventQueue& events_;
   const Scenario& scenario_;
-  Replica replicas_[2];  // the second one is used only during a counter_split fault
-  // The faults that are active.
-  bool split_ = false;
-  bool refusing_ = false;
-  bool silent_ = false;
-  double slowdown_ = 1;  // multiplies the execution time of a call
+  Replica replicas_[2];    // the second one is used only during a counter_split fault
+  bool split_ = false;     // whether a counter_split fault is active
+  bool refusing_ = false;  // whether a counter_refuse fault is active
+  bool silent_ = false;    // whether a counter_silent fault is active
+  double slowdown_ = 1;    // multiplies the execution time of a call
   std::uint64_t calls_ = 0;
 };
 
--- a/src/lab/emulator/emulated_discovery.cpp
+++ b/src/lab/emulator/emulated_discovery.cpp
@@ -24,9 +24,9 @@
   }
 }
 
-void EmulatedDiscovery::suspend_updates(int gateway, Duration length) {
+void EmulatedDiscovery::suspend_updates(int gateway, Duration duration) {
   Duration& suspended_until = watches_[static_cast<std::size_t>(gateway)].suspended_until;
-  suspended_until = std::max(suspended_until, events_.now() + length);
+  suspended_until = std::max(suspended_until, events_.now() + duration);
 }
 
 }  // namespace ironquay::lab
--- a/src/lab/emulator/emulated_discovery.hpp
+++ b/src/lab/emulator/emulated_discovery.hpp
@@ -17,14 +17,14 @@
 
   // Sends the status of a worker to all gateways. `started_at` is when the worker started.
   void publish(int worker, WorkerStatus status, Duration started_at);
-  // Holds back the updates that are published to this gateway within the next `length`, and sends them when
+  // Holds back the updates that are published to this gateway within the next `duration`, and sends them when
   // that time has passed.
-  void suspend_updates(int gateway, Duration length);
+  void suspend_updates(int gateway, Duration duration);
 
  private:
   // The state of one gateway's watch.
   struct Watch {
-    // Arrival time of the last published update. Later updates do not arrive before it.
+    // Arrival time of the last published update. Later updates do not arrive before this time.
     Duration last_delivery{0};
     // Updates that are published before this time are sent at this time.
     Duration suspended_until{0};
--- a/src/lab/emulator/emulated_gateway.cpp
+++ b/src/lab/emulator/emulated_gateway.cpp
@@ -26,7 +26,7 @@
   settings.gateway_index = index_;
   ++incarnation_;
   timer_ = Duration(0);
-  const auto seed = static_cast<std::uint32_t>(environment_.policy_seeds.below(kSeedRange));
+  const auto seed = static_cast<std::uint32_t>(environment_.policy_seed_random.below(kSeedRange));
   policy_ = environment_.make_policy(std::move(settings), seed, now(), *this);
   if (endpoints_.empty())
     for (int worker = 0; worker < environment_.scenario.workers.count; ++worker) endpoints_[worker] = {};
@@ -120,7 +120,7 @@
   environment_.statistics.on_attempt();
   if (request_found && attempts.empty()) request->second.on_forwarded();
   // A faulty policy may send an attempt for a request that has already ended. The invariant checker has
-  // reported that above, so the route and the size of such an attempt do not matter.
+  // already reported that attempt in on_attempt_sent(), so its route and size do not matter.
   const std::size_t route = request_found ? request->second.route : 0;
   const double size = request_found ? request->second.units / environment_.scenario.mean_units() : 1;
   const auto on_result = in_current_incarnation(
--- a/src/lab/emulator/emulated_gateway.hpp
+++ b/src/lab/emulator/emulated_gateway.hpp
@@ -64,7 +64,7 @@
     GossipNetwork& gossip;
     TrafficStatistics& statistics;
     const PolicyFactory& make_policy;
-    RandomStream& policy_seeds;  // draws the seed of each policy
+    RandomStream& policy_seed_random;  // the generator that each policy's seed is drawn from
   };
 
   // `index` is the gateway's number, from 0.
@@ -87,7 +87,8 @@
   // Receives a gossip message. Drops it if the gateway is not running or the message exceeds the rate limit.
   void receive_gossip(int sender, const std::string& message);
 
-  // Effects:
+  // ---- Effects
+
   void send_attempt(RequestId id, WorkerId worker, Duration timeout) override;
   void cancel_attempt(RequestId id, std::size_t attempt_index) override;
   void reject(RequestId id, Duration retry_after) override {
--- a/src/lab/emulator/emulated_workers.cpp
+++ b/src/lab/emulator/emulated_workers.cpp
@@ -127,7 +127,7 @@
   for (const int worker : workers) {
     if (!at(worker).running) continue;
     begin_fault(worker, fault);
-    events_.schedule_in(fault.length, [this, worker, kind = fault.kind] { end_fault(worker, kind); });
+    events_.schedule_in(fault.duration, [this, worker, kind = fault.kind] { end_fault(worker, kind); });
   }
 }
 
--- a/src/lab/emulator/emulated_workers.hpp
+++ b/src/lab/emulator/emulated_workers.hpp
@@ -37,7 +37,7 @@
   std::shared_ptr<WorkerJob> send(int worker, std::size_t route, double size,
                                   std::function<void(Outcome)> on_result);
 
-  // Begins a fault of one of the worker_* kinds in these workers, which ends after its length. Workers that
+  // Begins a fault of one of the worker_* kinds in these workers, which ends after its duration. Workers that
   // do not run are skipped.
   void inject(const Fault& fault, const std::vector<int>& workers);
   // Starts a new worker and returns its index.
@@ -49,7 +49,7 @@
   void remove(int worker);
 
   // The cell of a worker. The workers of a cell share one store of idempotency keys.
-  int cell_of(int worker) const { return worker / scenario_.workers.cell_size; }
+  int cell_of(int worker) const { return worker / scenario_.workers.workers_per_cell; }
   // When the worker last started; 0 if it was already running, with full capacity, when the run began.
   Duration started_at(int worker) const { return workers_[static_cast<std::size_t>(worker)].started_at; }
   // Core seconds, at full speed, spent on jobs that were not cancelled by the time they were finished.
--- a/src/lab/emulator/emulation.cpp
+++ b/src/lab/emulator/emulation.cpp
@@ -40,13 +40,13 @@
                 [this](int receiver, int sender, const std::string& message) {
                   gateways_[static_cast<std::size_t>(receiver)]->receive_gossip(sender, message);
                 }),
-        policy_seeds_(seed, "restarts"),
+        policy_seed_random_(seed, "restarts"),
         discovery_(events_, scenario, seed, gateways_),
         clients_(events_, scenario, seed, gateways_, statistics_),
         faults_(events_, scenario, seed, {gateways_, workers_, counter_, discovery_}) {
     const EmulatedGateway::Environment environment{scenario_,   events_,      invariants_,
                                                    workers_,    counter_,     gossip_,
-                                                   statistics_, make_policy_, policy_seeds_};
+                                                   statistics_, make_policy_, policy_seed_random_};
     for (int index = 0; index < scenario.gateway_count(); ++index)
       gateways_.push_back(std::make_unique<EmulatedGateway>(environment, index));
   }
@@ -65,12 +65,13 @@
   }
 
  private:
-  // Returns a time at which all requests have ended. The last requests start at the scenario's length.
+  // Returns a time at which all requests have ended. The last requests start when Scenario::duration has
+  // passed.
   Duration end_time() const {
     Duration max_timeout(0);
     for (const Route& route : scenario_.policy_settings.routes)
       max_timeout = std::max(max_timeout, route.client_timeout);
-    return scenario_.length + max_timeout + kGracePeriod;
+    return scenario_.duration + max_timeout + kGracePeriod;
   }
 
   const Scenario& scenario_;
@@ -82,7 +83,7 @@
   EmulatedWorkers workers_;
   EmulatedCounter counter_;
   GossipNetwork gossip_;
-  RandomStream policy_seeds_;
+  RandomStream policy_seed_random_;
   GatewayFleet gateways_;
   EmulatedDiscovery discovery_;
   ClientPopulation clients_;
--- a/src/lab/emulator/emulation_figures.cpp
+++ b/src/lab/emulator/emulation_figures.cpp
@@ -13,7 +13,8 @@
 using Json = nlohmann::ordered_json;
 
 constexpr double kMillisecondsPerSecond = 1000;
-// Lower bound of a divisor, in core seconds. It avoids a division by zero if no work was done.
+// Lower bound, in core seconds, of the work that wasted_work_share() divides by. It avoids a division by zero
+// if no work was done.
 constexpr double kMinWork = 1e-9;
 
 Json to_json(const RequestTotals& totals) {
@@ -26,7 +27,7 @@
           {"served_inside", totals.served_value_share()}};
 }
 
-// A JSON object with the totals of each plan or route, by its name.
+// Returns a JSON object that maps the name of each plan or route to its totals.
 template <typename Named>
 Json by_name(const std::vector<Named>& names, const std::vector<RequestTotals>& totals) {
   Json json = Json::object();
@@ -34,11 +35,11 @@
   return json;
 }
 
-// For each second of the run: requests, requests served in time, units forwarded, and units forwarded for
-// heavy customers.
+// Returns an array for each second of the run: requests, requests served in time, units forwarded, and units
+// forwarded for heavy customers.
 Json per_second(const EmulationResults& results) {
   Json json = Json::array();
-  const auto seconds = static_cast<std::size_t>(results.scenario.length / 1s);
+  const auto seconds = static_cast<std::size_t>(results.scenario.duration / 1s);
   for (std::size_t i = 0; i <= seconds; ++i) {
     const PerSecondTotals& second = results.statistics.by_second()[i];
     json.push_back({second.requests, second.in_time, second.units_forwarded, second.heavy_units_forwarded});
@@ -78,7 +79,7 @@
   std::vector<double> limited_uses;
   for (const Customer& customer : results.customers) {
     const QuotaPlan& quota = results.scenario.policy_settings.plans[customer.plan];
-    const double permitted_units = quota.burst + quota.rate * to_seconds(results.scenario.length);
+    const double permitted_units = quota.burst + quota.rate * to_seconds(results.scenario.duration);
     const double quota_use = customer.units_forwarded / permitted_units;
     figures.max_quota_use = std::max(figures.max_quota_use, quota_use);
     if (customer.is_heavy) figures.heavy_customers_quota += quota.rate;
@@ -106,7 +107,7 @@
   return {{"scenario", scenario.name},
           {"gatekeepers", scenario.gateway_count()},
           {"workers", scenario.workers.count},
-          {"length_s", to_seconds(scenario.length)},
+          {"length_s", to_seconds(scenario.duration)},
           {"asked", total.requests},
           {"in_time", total.in_time},
           {"served_inside", total.served_value_share()},
--- a/src/lab/emulator/fault_injector.cpp
+++ b/src/lab/emulator/fault_injector.cpp
@@ -28,11 +28,11 @@
     case FaultKind::worker_error:
       return targets_.workers.inject(fault, choose_workers(fault));
     case FaultKind::replace:
-      return replace_workers(choose_workers(fault), fault.length);
+      return replace_workers(choose_workers(fault), fault.duration);
     case FaultKind::discovery_silent:
-      return suspend_discovery(1, fault.length);
+      return suspend_discovery(1, fault.duration);
     case FaultKind::discovery_overloaded:
-      return suspend_discovery(fault.target_share, fault.length);
+      return suspend_discovery(fault.target_share, fault.duration);
     case FaultKind::counter_refuse:
     case FaultKind::counter_silent:
     case FaultKind::counter_slow:
@@ -61,12 +61,12 @@
   return indices;
 }
 
-// Replaces the workers one after another, at equal intervals over `length`.
-void FaultInjector::replace_workers(const std::vector<int>& workers, Duration length) {
+// Replaces the workers one after another, at equal intervals over `duration`.
+void FaultInjector::replace_workers(const std::vector<int>& workers, Duration duration) {
   const auto count = static_cast<Duration::rep>(workers.size());
   for (Duration::rep i = 0; i < count; ++i) {
     const int worker = workers[static_cast<std::size_t>(i)];
-    events_.schedule_in(length * i / count, [this, worker] { replace_worker(worker); });
+    events_.schedule_in(duration * i / count, [this, worker] { replace_worker(worker); });
   }
 }
 
@@ -84,16 +84,16 @@
   });
 }
 
-void FaultInjector::suspend_discovery(double gateway_fraction, Duration length) {
+void FaultInjector::suspend_discovery(double gateway_fraction, Duration duration) {
   for (const int gateway : choose_indices(targets_.gateways.size(), gateway_fraction))
-    targets_.discovery.suspend_updates(gateway, length);
+    targets_.discovery.suspend_updates(gateway, duration);
 }
 
 void FaultInjector::restart_gateways(const Fault& fault) {
   for (const int index : choose_indices(targets_.gateways.size(), fault.target_share)) {
     EmulatedGateway& gateway = *targets_.gateways[static_cast<std::size_t>(index)];
     gateway.crash();
-    events_.schedule_in(fault.length, [&gateway] { gateway.start(); });
+    events_.schedule_in(fault.duration, [&gateway] { gateway.start(); });
   }
 }
 
--- a/src/lab/emulator/fault_injector.hpp
+++ b/src/lab/emulator/fault_injector.hpp
@@ -34,9 +34,9 @@
   void inject(const Fault& fault);
   std::vector<int> choose_workers(const Fault& fault);
   std::vector<int> choose_indices(std::size_t count, double fraction);
-  void replace_workers(const std::vector<int>& workers, Duration length);
+  void replace_workers(const std::vector<int>& workers, Duration duration);
   void replace_worker(int old_worker);
-  void suspend_discovery(double gateway_fraction, Duration length);
+  void suspend_discovery(double gateway_fraction, Duration duration);
   void restart_gateways(const Fault& fault);
 
   EventQueue& events_;
--- a/src/lab/emulator/invariant_checker.cpp
+++ b/src/lab/emulator/invariant_checker.cpp
@@ -19,7 +19,8 @@
 constexpr double kArrivalDeviations = 3;
 constexpr double kExtraArrivals = 3;
 
-// Texts of the violated rules. They are part of the program's output.
+// ---- Texts of the violated rules, which are part of the program's output
+
 constexpr char kSecondResponse[] = "one final answer: a second one";
 constexpr char kLateResponse[] = "one final answer: too late";
 constexpr char kNoResponse[] = "one final answer: none came";
--- a/src/lab/emulator/invariant_checker.hpp
+++ b/src/lab/emulator/invariant_checker.hpp
@@ -92,7 +92,7 @@
     Duration started_at{0};
     std::deque<Duration> recent_arrivals;  // times of the arrivals within the last overload window
   };
-  // A worker as one gateway sees it.
+  // A worker in one gateway's endpoint list.
   struct Endpoint {
     int gateway = 0;
     int worker = 0;
--- a/src/lab/emulator/traffic_statistics.cpp
+++ b/src/lab/emulator/traffic_statistics.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// Seconds after the length of the run for which requests are counted. Requests that start at the end of the
-// run may still end within their clients' timeouts.
+// The number of seconds after the end of the run for which requests are still counted. Requests that start at
+// the end of the run may still end within their clients' timeouts.
 constexpr std::size_t kExtraSeconds = 120;
 
 }  // namespace
@@ -48,7 +48,7 @@
 TrafficStatistics::TrafficStatistics(const Scenario& scenario)
     : by_plan_(scenario.plans.size()),
       by_route_(scenario.routes.size()),
-      by_second_(static_cast<std::size_t>(scenario.length / 1s) + kExtraSeconds) {}
+      by_second_(static_cast<std::size_t>(scenario.duration / 1s) + kExtraSeconds) {}
 
 PerSecondTotals& TrafficStatistics::totals_at(Duration now) {
   return by_second_[static_cast<std::size_t>(now / 1s)];
--- a/src/lab/loadgen/gateway_config_writer.cpp
+++ b/src/lab/loadgen/gateway_config_writer.cpp
@@ -7,7 +7,8 @@
 
 using Json = nlohmann::ordered_json;
 
-// Settings that scenarios do not describe.
+// ---- Settings that scenarios do not describe
+
 constexpr int kPollDeadlineMs = 10'000;
 constexpr int kIdleTimeoutMs = 30'000;
 constexpr int kMaxRequestsInFlight = 10'000;
--- a/src/lab/loadgen/load_connection.hpp
+++ b/src/lab/loadgen/load_connection.hpp
@@ -20,7 +20,8 @@
    public:
     virtual ~Listener() = default;
     // The request that was scheduled for `scheduled_at` has ended.
-    virtual void on_request_end(const LoadRequest& request, Duration scheduled_at, LoadOutcome outcome) = 0;
+    virtual void on_request_end(const LoadRequest& request, Duration scheduled_at,
+                                LoadRequestOutcome outcome) = 0;
     // The connection is ready for the next request.
     virtual void on_idle(LoadConnection& connection) = 0;
     // The connection has ended. The listener must destroy it, but only after the current event has been
@@ -35,14 +36,14 @@
   // Sends `command`, the encoded form of a request that was scheduled for `scheduled_at`. If there is no
   // response before `deadline`, the request ends as lost and the connection is closed.
   void send(const LoadRequest& request, Duration scheduled_at, Duration deadline, std::string_view command);
-  // The index of the gateway.
+  // Returns the index of the gateway.
   std::size_t target() const { return target_; }
 
  private:
   void on_events(std::uint32_t events) override;
   std::size_t on_bytes(std::string_view bytes);
-  void end_request(LoadOutcome outcome);
-  void end_request_and_close(LoadOutcome outcome);
+  void end_request(LoadRequestOutcome outcome);
+  void end_request_and_close(LoadRequestOutcome outcome);
 
   Listener& listener_;
   std::size_t target_;
--- a/src/lab/loadgen/load_generator.cpp
+++ b/src/lab/loadgen/load_generator.cpp
@@ -31,12 +31,12 @@
 class LoadGenerator : public LoadConnection::Listener {
  public:
   LoadGenerator(net::EventLoop& loop, const Scenario& scenario, const LoadOptions& options,
-                const std::atomic<bool>& stop)
+                const std::atomic<bool>& stop_requested)
       : loop_(loop),
         scenario_(scenario),
         options_(options),
-        stop_(stop),
-        requests_(scenario, options.seed, options.targets.size()),
+        stop_requested_(stop_requested),
+        request_factory_(scenario, options.seed, options.targets.size()),
         idle_connections_(options.targets.size()),
         by_route_(scenario.routes.size()),
         by_plan_(scenario.plans.size()),
@@ -52,7 +52,8 @@
   }
 
  private:
-  void on_request_end(const LoadRequest& request, Duration scheduled_at, LoadOutcome outcome) override {
+  void on_request_end(const LoadRequest& request, Duration scheduled_at,
+                      LoadRequestOutcome outcome) override {
     --in_flight_;
     count_request_end(request, outcome, to_milliseconds(loop_.now() - scheduled_at));
   }
@@ -69,7 +70,7 @@
 
   // Stops the loop when no request is scheduled or in flight.
   void stop_when_finished() {
-    if (stop_) next_request_timer_.stop();
+    if (stop_requested_) next_request_timer_.stop();
     if (!next_request_timer_.is_active() && in_flight_ == 0) return loop_.stop();
     end_check_timer_.expire_after(kEndCheckInterval);
   }
@@ -77,26 +78,26 @@
   // Sends all requests whose scheduled time has come, whether or not earlier ones have been answered, and
   // sets the timer for the next one.
   void send_due_requests() {
-    while (next_scheduled_at_ <= loop_.now() && !stop_) {
+    while (next_scheduled_at_ <= loop_.now() && !stop_requested_) {
       send_request();
-      next_scheduled_at_ += requests_.next_interval(options_.rate);
-      if (next_scheduled_at_ - started_at_ > options_.length || requests_sent_ >= options_.max_requests)
+      next_scheduled_at_ += request_factory_.next_interval(options_.rate);
+      if (next_scheduled_at_ - started_at_ > options_.duration || requests_sent_ >= options_.max_requests)
         return;
     }
-    if (!stop_) next_request_timer_.expire_at(next_scheduled_at_);
+    if (!stop_requested_) next_request_timer_.expire_at(next_scheduled_at_);
   }
 
   // Sends the next request, or counts it as lost if its client has already timed out or there is no
   // connection.
   void send_request() {
-    const LoadRequest request = requests_.next_request();
+    const LoadRequest request = request_factory_.next_request();
     const Route& route = scenario_.policy_settings.routes[request.route];
     const Duration deadline = next_scheduled_at_ + route.client_timeout;
     count_request(request);
     LoadConnection* connection = deadline > loop_.now() ? take_connection(request.target) : nullptr;
-    if (!connection) return count_request_end(request, LoadOutcome::lost, 0);
+    if (!connection) return count_request_end(request, LoadRequestOutcome::lost, 0);
     ++in_flight_;
-    const std::string command = requests_.encode(request, deadline - loop_.now());
+    const std::string command = request_factory_.encode(request, deadline - loop_.now());
     connection->send(request, next_scheduled_at_, deadline, command);
   }
 
@@ -109,7 +110,7 @@
     by_plan_[request.plan].on_request();
   }
 
-  void count_request_end(const LoadRequest& request, LoadOutcome outcome, double latency_ms) {
+  void count_request_end(const LoadRequest& request, LoadRequestOutcome outcome, double latency_ms) {
     by_route_[request.route].on_request_end(outcome, latency_ms);
     by_plan_[request.plan].on_request_end(outcome, latency_ms);
   }
@@ -130,7 +131,7 @@
     return connections_.back().get();
   }
 
-  // A JSON object with the totals of each route or plan, by its name.
+  // Returns a JSON object that maps the name of each route or plan to its totals.
   template <typename Named>
   static Json by_name(const std::vector<Named>& names, const std::vector<LoadTotals>& totals) {
     Json json = Json::object();
@@ -154,8 +155,8 @@
   net::EventLoop& loop_;
   const Scenario& scenario_;
   const LoadOptions& options_;
-  const std::atomic<bool>& stop_;
-  RequestFactory requests_;
+  const std::atomic<bool>& stop_requested_;
+  RequestFactory request_factory_;
   std::vector<std::unique_ptr<LoadConnection>> connections_;
   std::vector<std::vector<LoadConnection*>> idle_connections_;  // by gateway index
   std::vector<LoadTotals> by_route_;
@@ -173,8 +174,8 @@
 }  // namespace
 
 Json generate_load(net::EventLoop& loop, const Scenario& scenario, const LoadOptions& options,
-                   const std::atomic<bool>& stop) {
-  return LoadGenerator(loop, scenario, options, stop).run();
+                   const std::atomic<bool>& stop_requested) {
+  return LoadGenerator(loop, scenario, options, stop_requested).run();
 }
 
 }  // namespace ironquay::lab
--- a/src/lab/loadgen/load_generator.hpp
+++ b/src/lab/loadgen/load_generator.hpp
@@ -17,15 +17,16 @@
 struct LoadOptions {
   std::vector<net::Address> targets;  // addresses of the gateways, by index
   double rate = 10;                   // requests per second
-  Duration length{0};                 // time during which requests are sent
-  // The generator stops after this number of requests, even if `length` has not passed yet.
+  Duration duration{0};               // time during which requests are sent
+  // The generator stops after this number of requests, even if `duration` has not passed yet.
   std::uint64_t max_requests = 0;
   std::uint32_t seed = 1;
 };
 
 // Sends requests as `options` say and runs `loop` until all of them have ended. Returns the figures, which
-// docs/laboratory.md explains. After `stop` is set, no further requests are sent. Clients do not retry.
+// docs/laboratory.md explains. After `stop_requested` is set, no further requests are sent. Clients do not
+// retry.
 nlohmann::ordered_json generate_load(net::EventLoop& loop, const Scenario& scenario,
-                                     const LoadOptions& options, const std::atomic<bool>& stop);
+                                     const LoadOptions& options, const std::atomic<bool>& stop_requested);
 
 }  // namespace ironquay::lab
--- a/src/lab/loadgen/load_totals.cpp
+++ b/src/lab/loadgen/load_totals.cpp
@@ -7,19 +7,19 @@
 
 namespace ironquay::lab {
 
-void LoadTotals::on_request_end(LoadOutcome outcome, double latency_ms) {
+void LoadTotals::on_request_end(LoadRequestOutcome outcome, double latency_ms) {
   switch (outcome) {
-    case LoadOutcome::served:
+    case LoadRequestOutcome::served:
       ++served_;
       latencies_ms_.push_back(latency_ms);
       break;
-    case LoadOutcome::rejected:
+    case LoadRequestOutcome::rejected:
       ++rejected_;
       break;
-    case LoadOutcome::failed:
+    case LoadRequestOutcome::failed:
       ++failed_;
       break;
-    case LoadOutcome::lost:
+    case LoadRequestOutcome::lost:
       ++lost_;
       break;
   }
--- a/src/lab/loadgen/load_totals.hpp
+++ b/src/lab/loadgen/load_totals.hpp
@@ -7,7 +7,7 @@
 namespace ironquay::lab {
 
 // How a request of the load generator ended.
-enum class LoadOutcome {
+enum class LoadRequestOutcome {
   served,
   rejected,  // the gateway answered `-BUSY`
   failed,    // the gateway answered anything else
@@ -19,7 +19,7 @@
  public:
   void on_request() { ++requests_; }
   // `latency_ms` is recorded only for served requests.
-  void on_request_end(LoadOutcome outcome, double latency_ms = 0);
+  void on_request_end(LoadRequestOutcome outcome, double latency_ms = 0);
   LoadTotals& operator+=(const LoadTotals& other);
   // The counts, and quantiles of the latencies in milliseconds.
   nlohmann::ordered_json to_json() const;
--- a/src/lab/random_stream.hpp
+++ b/src/lab/random_stream.hpp
@@ -21,11 +21,11 @@
     engine_.seed(sequence);
   }
 
-  // Uniform in [0, 1).
+  // Draws a number that is uniformly distributed in [0, 1).
   double uniform() { return std::uniform_real_distribution<double>(0, 1)(engine_); }
-  // Exponentially distributed.
+  // Draws an exponentially distributed number with this mean.
   double exponential(double mean) { return std::exponential_distribution<double>(1 / mean)(engine_); }
-  // Uniform in [0, bound); `bound` must not be zero.
+  // Draws an integer that is uniformly distributed in [0, bound). `bound` must not be zero.
   std::size_t below(std::size_t bound) {
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(engine_);
   }
@@ -40,9 +40,9 @@
       position -= weight(items[index]);
     return index;
   }
-  // True with the given probability.
+  // Returns true with the given probability.
   bool chance(double probability) { return uniform() < probability; }
-  // Uniform in [0.5 * mean, 1.5 * mean).
+  // Draws a duration that is uniformly distributed in [0.5 * mean, 1.5 * mean).
   Duration jittered(Duration mean) { return std::chrono::duration_cast<Duration>(mean * (0.5 + uniform())); }
 
  private:
--- a/src/lab/report/confidence_interval.cpp
+++ b/src/lab/report/confidence_interval.cpp
@@ -6,8 +6,8 @@
 namespace ironquay::lab {
 namespace {
 
-// The quantile of the upper bound of a two-sided interval with 95% confidence.
-constexpr double kUpperQuantile = 0.975;
+// The probability that a value lies below the upper bound of a two-sided 95% interval.
+constexpr double kUpperBoundProbability = 0.975;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   for (const double value : values)
     variance += (value - interval.mean) * (value - interval.mean) / degrees_of_freedom;
   const boost::math::students_t_distribution<double> student(degrees_of_freedom);
-  const double margin = boost::math::quantile(student, kUpperQuantile) * std::sqrt(variance / count);
+  const double margin = boost::math::quantile(student, kUpperBoundProbability) * std::sqrt(variance / count);
   interval.low = interval.mean - margin;
   interval.high = interval.mean + margin;
   return interval;
--- a/src/lab/report/plot_writer.cpp
+++ b/src/lab/report/plot_writer.cpp
@@ -10,9 +10,10 @@
 namespace ironquay::lab {
 namespace {
 
-// The index of the units forwarded for heavy customers in an element of "per_second".
+// In an element of "per_second", the index of the units that were forwarded for heavy customers.
 constexpr std::size_t kHeavyUnitsIndex = 3;
-// The lower bound of a divisor, in units per second. It avoids 0/0 in a scenario without heavy customers.
+// Lower bound, in units per second, of the quota that heavy_customers_quota_use() divides by. It avoids 0/0
+// in a scenario without heavy customers.
 constexpr double kMinQuota = 1e-9;
 
 // The name of the group's data file, without its extension.
@@ -21,7 +22,7 @@
          (group.variant == "pool" ? "pool" : "slices");
 }
 
-// The units that were forwarded for heavy customers in that second, divided by their quota.
+// The units that were forwarded for heavy customers in the given second of the run, divided by their quota.
 double heavy_customers_quota_use(const Run& run, std::size_t second) {
   const double units = run.at("per_second").at(second).at(kHeavyUnitsIndex).get<double>();
   return units / std::max(kMinQuota, run.at("heavy_quota").get<double>());
--- a/src/lab/scenario/scenario.hpp
+++ b/src/lab/scenario/scenario.hpp
@@ -46,7 +46,7 @@
 struct Fault {
   FaultKind kind = FaultKind::worker_slow;
   Duration start_time{0};  // time from the start of the run
-  Duration length{0};      // duration; for a replacement, the time in which all affected workers are replaced
+  Duration duration{0};    // time until the fault ends; a replacement replaces all affected workers within it
   double target_share = 0;      // share of the workers or gateways that are affected, chosen at random
   std::vector<int> workers;     // indices of the affected workers; replaces target_share unless empty
   double factor = 1;            // FaultKind explains its meaning for each kind
@@ -65,7 +65,7 @@
   int count = 0;
   int cores = 1;                    // per worker
   std::size_t queue_limit = 0;      // requests per worker that may wait for a core
-  int cell_size = 1;                // consecutive workers that share one store of idempotency keys
+  int workers_per_cell = 1;         // number of consecutive workers that share one store of idempotency keys
   bool runs_cancelled_work = true;  // whether a queued request is executed although its gateway cancelled it
   double overload_multiple = 4;     // load above which a starting worker fails, in multiples of its capacity
   Duration drain_grace{0};          // time after a drain notice in which a gateway may still send attempts
@@ -94,7 +94,7 @@
 
 struct Scenario {
   std::string name;
-  Duration length{0};
+  Duration duration{0};            // time during which clients send new requests
   PolicySettings policy_settings;  // shared by all gateways; each gateway has its own gateway_index
   GatewayAssignment assignment;
   WorkerModel workers;
--- a/src/lab/scenario/scenario_parser.cpp
+++ b/src/lab/scenario/scenario_parser.cpp
@@ -40,14 +40,14 @@
 
 // The upper bound of rates (per second), bursts (units) and weights.
 constexpr double kMaxRate = 1e9;
-// Units per second. A quota below this is practically no quota at all.
-constexpr double kMinQuota = 1e-3;
+// The lowest rate of a quota, in units per second. A quota below this is practically no quota at all.
+constexpr double kMinQuotaRate = 1e-3;
 // The default of a burst or ceiling burst is the number of units that its rate yields in this time.
 constexpr double kDefaultBurstSeconds = 4;
 constexpr NumberRange kFractionRange{0, 1};
 constexpr NumberRange kRateRange{0, kMaxRate};
 
-// The granularity of the platform's clock.
+// PolicySettings::tick of the gateways, the granularity of their clock.
 constexpr Duration kTick = 2ms;
 
 void parse_gateways(TomlSection& section, Scenario& scenario) {
@@ -67,7 +67,7 @@
   workers.count = section.integer("many", 10, {1, 100'000});
   workers.cores = section.integer("cores", 3, {1, 1000});
   workers.queue_limit = static_cast<std::size_t>(section.integer("queue", 30, {0, 1'000'000}));
-  workers.cell_size = section.integer("cell_size", 4, {1, 100'000});
+  workers.workers_per_cell = section.integer("cell_size", 4, {1, 100'000});
   workers.runs_cancelled_work = section.boolean("work_goes_on", true);
   contract.initial_capacity_share = section.number("cold_share", 0.25, {0.01, 1});
   contract.slow_start_window = section.duration("warm_after_ms", 15s);
@@ -143,7 +143,7 @@
   demand.normal_quota_use = section.number("use", 0.5, {0, 100});
   demand.heavy_customer_share = section.number("heavy", 0, kFractionRange);
   demand.heavy_quota_use = section.number("heavy_use", 3, {0, 100});
-  quota.rate = section.number("quota", 1, {kMinQuota, kMaxRate});
+  quota.rate = section.number("quota", 1, {kMinQuotaRate, kMaxRate});
   quota.burst = section.number("burst", kDefaultBurstSeconds * quota.rate, {1, kMaxRate});
   quota.ceiling_rate = section.number("ceiling", 0, kRateRange);
   quota.ceiling_burst =
@@ -183,13 +183,13 @@
     fault.kind = found->second;
   }
   fault.start_time = section.duration("at_ms", Duration(0));
-  fault.length = section.duration("length_ms", 1s);
+  fault.duration = section.duration("length_ms", 1s);
   fault.target_share = section.number("part", 0, kFractionRange);
   fault.factor = section.number("factor", 1, {0, 1000});
   fault.clears_counter = section.boolean("empty", false);
   parse_fault_workers(section, scenario, fault);
   parse_fault_plan(section, scenario, fault);
-  if (fault.start_time > scenario.length) section.reject("at_ms must not exceed the length of the run");
+  if (fault.start_time > scenario.duration) section.reject("at_ms must not exceed the length of the run");
   scenario.faults.push_back(fault);
 }
 
@@ -203,8 +203,8 @@
     top.for_each_table(key, [&](TomlSection& section) { parse(section, scenario); });
   };
   scenario.name = top.string("name", "unnamed");
-  scenario.length = top.duration("length_ms", 10s);
-  if (scenario.length <= Duration(0)) top.reject("length_ms must be greater than 0");
+  scenario.duration = top.duration("length_ms", 10s);
+  if (scenario.duration <= Duration(0)) top.reject("length_ms must be greater than 0");
   scenario.policy_settings.tick = kTick;
   scenario.policy_settings.reports_actual_units = false;
   parse_table("gatekeepers", parse_gateways);
--- a/src/lab/scenario/toml_section.hpp
+++ b/src/lab/scenario/toml_section.hpp
@@ -67,7 +67,7 @@
   void reject(const std::string& reason);
 
  private:
-  // The key with the section's name as its prefix.
+  // Returns the key with the section's name as its prefix.
   std::string qualified_key(std::string_view key) const;
   // Returns the node of a key, or null if it is absent, and marks the key as read.
   const toml::node* read_node(const char* key);
--- a/src/lab/stubs/stub_counter.cpp
+++ b/src/lab/stubs/stub_counter.cpp
@@ -85,7 +85,7 @@
 
 void StubCounter::inject(const Fault& fault) {
   begin_fault(fault.kind);
-  timers_.run_in(fault.length, [this, kind = fault.kind, clears_counter = fault.clears_counter] {
+  timers_.run_in(fault.duration, [this, kind = fault.kind, clears_counter = fault.clears_counter] {
     end_fault(kind);
     if (clears_counter) totals_.clear();
   });
--- a/src/lab/stubs/stub_counter.hpp
+++ b/src/lab/stubs/stub_counter.hpp
@@ -1,4 +1,4 @@
-// A stub of the platform's counter service. It speaks the counter's protocol on a loopback socket.
+// A stub of the counter service. It speaks the counter's protocol on a loopback socket.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -19,7 +19,7 @@
   // The address that the counter listens at, with the actual port.
   std::string address() const { return server_.address(); }
 
-  // Begins a fault, which ends after its length. The counter simulates the kinds counter_refuse and
+  // Begins a fault, which ends after its duration. The counter simulates the kinds counter_refuse and
   // counter_silent. A fault of any kind may clear the totals when it ends.
   void inject(const Fault& fault);
   // The number of CNT.ADD commands executed.
--- a/src/lab/stubs/stub_discovery_agent.cpp
+++ b/src/lab/stubs/stub_discovery_agent.cpp
@@ -133,7 +133,7 @@
 void StubDiscoveryAgent::inject(const Fault& fault) {
   if (fault.kind != FaultKind::discovery_silent) return;
   silent_ = true;
-  timers_.run_in(fault.length, [this] {
+  timers_.run_in(fault.duration, [this] {
     silent_ = false;
     server_.disconnect_all();
   });
--- a/src/lab/stubs/stub_discovery_agent.hpp
+++ b/src/lab/stubs/stub_discovery_agent.hpp
@@ -1,4 +1,4 @@
-// A stub of the platform's discovery service. It listens on a loopback socket, answers polls with the
+// A stub of the discovery service. It listens on a loopback socket, answers polls with the
 // complete list of workers, and streams the changes of the list to watches.
 #pragma once
 #include <cstdint>
@@ -28,7 +28,7 @@
   // means that it has already warmed up.
   void set_host(const std::string& name, const std::string& worker_address, HostHealth health,
                 Duration started_at = Duration(0));
-  // Begins a fault of the kind discovery_silent, which ends after its length. Other kinds are ignored.
+  // Begins a fault of the kind discovery_silent, which ends after its duration. Other kinds are ignored.
   void inject(const Fault& fault);
 
  private:
--- a/src/lab/stubs/stub_server.hpp
+++ b/src/lab/stubs/stub_server.hpp
@@ -1,4 +1,4 @@
-// The TCP server on which the stubs of the platform's services are built.
+// The TCP server on which the stubs of workers, counter and discovery service are built.
 #pragma once
 #include <cstdint>
 #include <functional>
--- a/src/lab/stubs/stub_worker.cpp
+++ b/src/lab/stubs/stub_worker.cpp
@@ -133,7 +133,7 @@
 
 void StubWorker::inject(const Fault& fault) {
   begin_fault(fault);
-  timers_.run_in(fault.length, [this, kind = fault.kind] {
+  timers_.run_in(fault.duration, [this, kind = fault.kind] {
     end_fault(kind);
     execute_queued();
   });
--- a/src/lab/stubs/stub_worker.hpp
+++ b/src/lab/stubs/stub_worker.hpp
@@ -1,4 +1,4 @@
-// A stub of one of the platform's workers. It speaks the workers' protocol on a loopback socket.
+// A stub of a worker. It speaks the workers' protocol on a loopback socket.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -24,7 +24,7 @@
   // The address that the worker listens at, with the actual port.
   std::string address() const { return server_.address(); }
 
-  // Begins a fault of one of the worker_* kinds, which ends after its length. Other kinds are ignored.
+  // Begins a fault of one of the worker_* kinds, which ends after its duration. Other kinds are ignored.
   void inject(const Fault& fault);
   // Makes the worker reject all requests that arrive from now on.
   void drain() { draining_ = true; }
--- a/test/config/settings_decoder_test.cpp
+++ b/test/config/settings_decoder_test.cpp
@@ -56,7 +56,7 @@
   CHECK(policy.zone == "zone-a");
 }
 
-TEST_CASE("settings of a capability are optional when the platform does not provide it") {
+TEST_CASE("settings of a capability are optional when the capability is absent") {
   Json settings = valid_settings();
   settings["family_info"]["counter"] = false;
   settings["family_info"].erase("count_limit");
--- a/test/lab/emulator_test.cpp
+++ b/test/lab/emulator_test.cpp
@@ -27,7 +27,7 @@
   int cores = 1;
   double load = 0;       // arrival rate divided by capacity
   double mean_work = 0;  // seconds
-  // In requests per second.
+  // The arrival rate, in requests per second.
   double arrival_rate() const { return load * cores / mean_work; }
 };
 
--- a/test/lab/invariant_checker_test.cpp
+++ b/test/lab/invariant_checker_test.cpp
@@ -39,7 +39,7 @@
   std::function<void(RequestId)> handle_request = [](RequestId) {};
   std::function<void(RequestId)> handle_failed_attempt = [this](RequestId request) { effects.fail(request); };
   Effects& effects;
-  WorkerId started_worker = 0;  // the worker that started last during the run; 0: none has
+  WorkerId started_worker = 0;  // the last worker that started during the run; 0 if none started
 };
 
 // Emulates the scenario with the policy that `set_up` configures, and returns the rule that the policy
--- a/test/lab/scenario_test.cpp
+++ b/test/lab/scenario_test.cpp
@@ -8,7 +8,7 @@
 namespace ironquay::lab {
 namespace {
 
-// The parser's error message, or an empty string if it accepts the text.
+// Returns the parser's error message, or an empty string if it accepts the text.
 std::string parse_error(const std::string& text) {
   try {
     parse_scenario(text, "x.toml");
--- a/test/lab/stub_server_test.cpp
+++ b/test/lab/stub_server_test.cpp
@@ -146,12 +146,12 @@
   }
   std::string log() const { return gateway_->log(); }
   // Sends `rate` requests per second to the gateway and returns the load generator's figures.
-  nlohmann::ordered_json generate_load_for(Duration length, double rate) const {
+  nlohmann::ordered_json generate_load_for(Duration duration, double rate) const {
     net::EventLoop loop;
     LoadOptions options;
     options.targets = {gateway_address_};
     options.rate = rate;
-    options.length = length;
+    options.duration = duration;
     options.max_requests = 100000;
     const std::atomic<bool> stop = false;
     return generate_load(loop, scenario, options, stop);
@@ -188,15 +188,15 @@
   std::thread thread_;
 };
 
-// Generates load for `length`, and starts the deployment's script after `script_delay`. Stops the stubs and
+// Generates load for `duration`, and starts the deployment's script after `script_delay`. Stops the stubs and
 // returns the load generator's figures.
-nlohmann::ordered_json load_with_script(Deployment& deployment, Duration script_delay, Duration length,
+nlohmann::ordered_json load_with_script(Deployment& deployment, Duration script_delay, Duration duration,
                                         double rate) {
   std::thread script([&] {
     std::this_thread::sleep_for(script_delay);
     deployment.start_script();
   });
-  auto figures = deployment.generate_load_for(length, rate);
+  auto figures = deployment.generate_load_for(duration, rate);
   script.join();
   deployment.stop_stubs();
   return figures;
@@ -224,11 +224,11 @@
   std::uint64_t received_before_drain = 0;
   Deployment deployment([&](Deployment& stubs) {
     stubs.agent.set_host("s-a", stubs.first_worker.address(), HostHealth::terminating);
-    Fault errors;
-    errors.kind = FaultKind::worker_error;
-    errors.length = 300ms;
-    errors.factor = 1;
-    stubs.second_worker.inject(errors);
+    Fault error_fault;
+    error_fault.kind = FaultKind::worker_error;
+    error_fault.duration = 300ms;
+    error_fault.factor = 1;
+    stubs.second_worker.inject(error_fault);
     received_before_drain = stubs.first_worker.received();
   });
   const auto figures = load_with_script(deployment, 500ms, 2s, 100);
@@ -245,7 +245,7 @@
   Deployment deployment([](Deployment& stubs) {
     Fault hang;
     hang.kind = FaultKind::worker_hang;
-    hang.length = 400ms;
+    hang.duration = 400ms;
     stubs.first_worker.inject(hang);
     stubs.second_worker.inject(hang);
   });
--- a/test/lab/support.hpp
+++ b/test/lab/support.hpp
@@ -9,9 +9,9 @@
 
 namespace ironquay::lab {
 
-// The text of a scenario with two gateways, one route "r" and one plan "p". `tables` starts at line 4,
-// directly after the first key of the table [gatekeepers]. It may begin with further keys of that table,
-// which other tables may follow. `route` and `plan` hold further keys of the route and the plan.
+// Returns the text of a scenario with two gateways, one route "r" and one plan "p". `tables` starts at line
+// 4, directly after the first key of the table [gatekeepers]. It may begin with further keys of that table;
+// other tables may follow those keys. `route` and `plan` hold further keys of the route and the plan.
 inline std::string scenario_text(const std::string& tables, const std::string& route = "",
                                  const std::string& plan = "") {
   return "length_ms = 4000\n[gatekeepers]\nmany = 2\n" + tables +
@@ -24,7 +24,7 @@
   return parse_scenario(scenario_text(tables, route, plan), "test.toml");
 }
 
-// The path of lab/NAME.toml in the source tree.
+// Returns the path of lab/NAME.toml in the source tree.
 inline std::string scenario_path(const std::string& name) {
   return std::string(IRONQUAY_ROOT) + "/lab/" + name + ".toml";
 }
