--- a/src/adapter/reply_builder.cpp
+++ b/src/adapter/reply_builder.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-ReplyBuilder& ReplyBuilder::begin_action(std::string_view instance, std::string_view action) {
-  if (current_instance_ != instance) write_instance_name(instance);
+ReplyBuilder& ReplyBuilder::begin_action(std::string_view instance_name, std::string_view action) {
+  if (current_instance_name_ != instance_name) write_instance_name(instance_name);
   lines_.append(action);
   return *this;
 }
@@ -48,9 +48,9 @@
 
 void ReplyBuilder::end_action() { lines_.push_back('\n'); }
 
-void ReplyBuilder::add_panic(std::string_view instance, std::string_view text) {
-  write_instance_name(instance);
-  begin_action(instance, "PANIC").add(text).end_action();
+void ReplyBuilder::add_panic(std::string_view instance_name, std::string_view text) {
+  write_instance_name(instance_name);
+  begin_action(instance_name, "PANIC").add(text).end_action();
 }
 
 void ReplyBuilder::send(std::string_view batch, std::ostream& out) {
@@ -58,12 +58,12 @@
   out.write(lines_.data(), static_cast<std::streamsize>(lines_.size()));
   out.flush();
   lines_.clear();
-  current_instance_.clear();
+  current_instance_name_.clear();
 }
 
-void ReplyBuilder::write_instance_name(std::string_view instance) {
-  current_instance_ = instance;
-  lines_.append("AS\t").append(instance).push_back('\n');
+void ReplyBuilder::write_instance_name(std::string_view instance_name) {
+  current_instance_name_ = instance_name;
+  lines_.append("AS\t").append(instance_name).push_back('\n');
 }
 
 }  // namespace ironquay::adapter
--- a/src/adapter/reply_builder.hpp
+++ b/src/adapter/reply_builder.hpp
@@ -15,7 +15,7 @@
  public:
   // Starts the line of an action. If the previous action in the reply belongs to another instance, or there
   // is none, first adds a line that names the instance.
-  ReplyBuilder& begin_action(std::string_view instance, std::string_view action);
+  ReplyBuilder& begin_action(std::string_view instance_name, std::string_view action);
   // These functions add one field to the current line. A duration is written in milliseconds.
   ReplyBuilder& add(std::string_view text);
   ReplyBuilder& add(double number);
@@ -27,16 +27,16 @@
   void end_action();
 
   // Reports that the instance failed and cannot continue. Always adds a line that names the instance first.
-  void add_panic(std::string_view instance, std::string_view text);
+  void add_panic(std::string_view instance_name, std::string_view text);
 
   // Adds the acknowledgement of `batch`, writes the reply to `out`, flushes it, and starts an empty reply.
   void send(std::string_view batch, std::ostream& out);
 
  private:
-  void write_instance_name(std::string_view instance);
+  void write_instance_name(std::string_view instance_name);
 
   std::string lines_;
-  std::string current_instance_;  // the instance named last in this reply; empty if none has been named
+  std::string current_instance_name_;  // the instance named last in this reply; empty if none has been named
 };
 
 template <std::integral Integer>
--- a/src/adapter/reply_writer.cpp
+++ b/src/adapter/reply_writer.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-ReplyWriter::ReplyWriter(std::string instance, ReplyBuilder& reply)
-    : instance_(std::move(instance)), reply_(reply) {}
+ReplyWriter::ReplyWriter(std::string instance_name, ReplyBuilder& reply)
+    : instance_name_(std::move(instance_name)), reply_(reply) {}
 
 void ReplyWriter::send_attempt(RequestId request, WorkerId worker, Duration timeout) {
   begin("SUBMIT_TO").add(request).add(worker).add(timeout).end_action();
--- a/src/adapter/reply_writer.hpp
+++ b/src/adapter/reply_writer.hpp
@@ -11,7 +11,7 @@
 class ReplyWriter : public Effects {
  public:
   // `reply` must outlive the writer.
-  ReplyWriter(std::string instance, ReplyBuilder& reply);
+  ReplyWriter(std::string instance_name, ReplyBuilder& reply);
 
   void send_attempt(RequestId request, WorkerId worker, Duration timeout) override;
   void cancel_attempt(RequestId request, std::size_t attempt) override;
@@ -28,9 +28,9 @@
   void log_note(std::string_view text) override;
 
  private:
-  ReplyBuilder& begin(std::string_view action) { return reply_.begin_action(instance_, action); }
+  ReplyBuilder& begin(std::string_view action) { return reply_.begin_action(instance_name_, action); }
 
-  std::string instance_;
+  std::string instance_name_;
   ReplyBuilder& reply_;
 };
 
--- a/src/lab/cli/main.cpp
+++ b/src/lab/cli/main.cpp
@@ -24,7 +24,8 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): other exceptions are defects of the program and terminate it.
+// Exceptions that main() does not catch are defects of the program and terminate it.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
   CLI::App program("Experiments with Ironquay gateways");
   program.require_subcommand(1);
--- a/src/lab/emulator/fault_injector.cpp
+++ b/src/lab/emulator/fault_injector.cpp
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;
 
-// Time from the endpoint update that says that a worker is draining until the worker is stopped.
+// How long a worker keeps running after the endpoint update with the status draining was published.
 constexpr Duration kDrainTime = 5s;
 
 }  // namespace
--- a/src/lab/loadgen/load_connection.cpp
+++ b/src/lab/loadgen/load_connection.cpp
@@ -20,10 +20,10 @@
 
 }  // namespace
 
-LoadConnection::LoadConnection(net::EventLoop& loop, Listener& listener, std::size_t target,
+LoadConnection::LoadConnection(net::EventLoop& loop, Listener& listener, std::size_t gateway_index,
                                net::FileDescriptor fd)
     : listener_(listener),
-      target_(target),
+      gateway_index_(gateway_index),
       stream_(loop, std::move(fd), *this, false),
       timeout_(loop, [this] { end_request_and_close(LoadRequestOutcome::lost); }) {}
 
--- a/src/lab/loadgen/load_connection.hpp
+++ b/src/lab/loadgen/load_connection.hpp
@@ -29,15 +29,15 @@
     virtual void on_closed(LoadConnection& connection) = 0;
   };
 
-  // `target` is the index of the gateway. `fd` is a socket whose connect may still be in progress; the
+  // `gateway_index` is the index of the gateway. `fd` is a socket whose connect may still be in progress; the
   // connection takes ownership of it. `loop` and `listener` must outlive the connection.
-  LoadConnection(net::EventLoop& loop, Listener& listener, std::size_t target, net::FileDescriptor fd);
+  LoadConnection(net::EventLoop& loop, Listener& listener, std::size_t gateway_index, net::FileDescriptor fd);
 
   // Sends `command`, the encoded form of a request that was scheduled for `scheduled_at`. If there is no
   // response before `deadline`, the request ends as lost and the connection is closed.
   void send(const LoadRequest& request, Duration scheduled_at, Duration deadline, std::string_view command);
   // Returns the index of the gateway.
-  std::size_t target() const { return target_; }
+  std::size_t gateway_index() const { return gateway_index_; }
 
  private:
   void on_events(std::uint32_t events) override;
@@ -46,7 +46,7 @@
   void end_request_and_close(LoadRequestOutcome outcome);
 
   Listener& listener_;
-  std::size_t target_;
+  std::size_t gateway_index_;
   net::TcpStream stream_;
   net::Timer timeout_;
   LoadRequest request_;  // the current or last request
--- a/src/lab/loadgen/load_generator.cpp
+++ b/src/lab/loadgen/load_generator.cpp
@@ -58,10 +58,10 @@
     count_request_end(request, outcome, to_milliseconds(loop_.now() - scheduled_at));
   }
   void on_idle(LoadConnection& connection) override {
-    idle_connections_[connection.target()].push_back(&connection);
+    idle_connections_[connection.gateway_index()].push_back(&connection);
   }
   void on_closed(LoadConnection& connection) override {
-    std::erase(idle_connections_[connection.target()], &connection);
+    std::erase(idle_connections_[connection.gateway_index()], &connection);
     const auto owned = std::find_if(connections_.begin(), connections_.end(),
                                     [&](const auto& candidate) { return candidate.get() == &connection; });
     loop_.destroy_later(std::move(*owned));
@@ -94,7 +94,7 @@
     const Route& route = scenario_.policy_settings.routes[request.route];
     const Duration deadline = next_scheduled_at_ + route.client_timeout;
     count_request(request);
-    LoadConnection* connection = deadline > loop_.now() ? take_connection(request.target) : nullptr;
+    LoadConnection* connection = deadline > loop_.now() ? take_connection(request.gateway_index) : nullptr;
     if (!connection) return count_request_end(request, LoadRequestOutcome::lost, 0);
     ++in_flight_;
     const std::string command = request_factory_.encode(request, deadline - loop_.now());
@@ -117,17 +117,17 @@
 
   // Returns an idle connection to the gateway, or else a new one. Returns null if the connection limit is
   // reached or the connection cannot be started.
-  LoadConnection* take_connection(std::size_t target) {
-    std::vector<LoadConnection*>& idle = idle_connections_[target];
+  LoadConnection* take_connection(std::size_t gateway_index) {
+    std::vector<LoadConnection*>& idle = idle_connections_[gateway_index];
     if (!idle.empty()) {
       LoadConnection* connection = idle.back();
       idle.pop_back();
       return connection;
     }
     if (connections_.size() >= kMaxConnections) return nullptr;
-    net::FileDescriptor fd = net::connect_tcp(options_.targets[target]);
+    net::FileDescriptor fd = net::connect_tcp(options_.targets[gateway_index]);
     if (!fd) return nullptr;
-    connections_.push_back(std::make_unique<LoadConnection>(loop_, *this, target, std::move(fd)));
+    connections_.push_back(std::make_unique<LoadConnection>(loop_, *this, gateway_index, std::move(fd)));
     return connections_.back().get();
   }
 
--- a/src/lab/loadgen/request_factory.cpp
+++ b/src/lab/loadgen/request_factory.cpp
@@ -48,7 +48,7 @@
   request.route =
       random_.weighted_index(scenario_.routes, [](const RouteTraffic& route) { return route.weight; });
   request.plan = random_.weighted_index(plan_demands(scenario_), [](double demand) { return demand; });
-  request.target = random_.below(target_count_);
+  request.gateway_index = random_.below(gateway_count_);
   const auto customers = static_cast<std::size_t>(scenario_.plans[request.plan].customers);
   request.customer = request.plan * kCustomersPerPlan + random_.below(customers);
   request.units = 1 + random_.below(static_cast<std::size_t>(scenario_.policy_settings.max_units));
@@ -63,7 +63,7 @@
   fields += ",t=" + scenario_.plans[request.plan].name;
   fields += ",d=" + std::to_string(remaining_ms);
   fields += ",units=" + std::to_string(request.units);
-  fields += ",spread=" + std::to_string(target_count_);
+  fields += ",spread=" + std::to_string(gateway_count_);
   fields += ",first=0";
   if (idempotency == Idempotency::keyed) fields += ",k=" + tag;
   const char* verb = idempotency == Idempotency::idempotent ? "CALL.GET" : "CALL.POST";
--- a/src/lab/loadgen/request_factory.hpp
+++ b/src/lab/loadgen/request_factory.hpp
@@ -10,19 +10,19 @@
 namespace ironquay::lab {
 
 struct LoadRequest {
-  std::size_t route = 0;     // index into Scenario::routes
-  std::size_t plan = 0;      // index into Scenario::plans
-  std::size_t target = 0;    // index of the gateway that the request is sent to
-  std::size_t customer = 0;  // number of the customer, unique over all plans
+  std::size_t route = 0;          // index into Scenario::routes
+  std::size_t plan = 0;           // index into Scenario::plans
+  std::size_t gateway_index = 0;  // index of the gateway that the request is sent to
+  std::size_t customer = 0;       // number of the customer, unique over all plans
   std::size_t units = 0;
   std::uint64_t sequence_number = 0;  // from 1, in the order of creation
 };
 
 class RequestFactory {
  public:
-  // `target_count` is the number of gateways. `scenario` must outlive this object.
-  RequestFactory(const Scenario& scenario, std::uint32_t seed, std::size_t target_count)
-      : scenario_(scenario), seed_(seed), target_count_(target_count), random_(seed, "load") {}
+  // `gateway_count` is the number of gateways. `scenario` must outlive this object.
+  RequestFactory(const Scenario& scenario, std::uint32_t seed, std::size_t gateway_count)
+      : scenario_(scenario), seed_(seed), gateway_count_(gateway_count), random_(seed, "load") {}
 
   // Draws the time until the next request. `rate` is in requests per second; the arrivals are a Poisson
   // process.
@@ -35,7 +35,7 @@
  private:
   const Scenario& scenario_;
   std::uint32_t seed_;
-  std::size_t target_count_;
+  std::size_t gateway_count_;
   RandomStream random_;
   std::uint64_t last_sequence_number_ = 0;
 };
--- a/src/lab/stubs/stub_worker.cpp
+++ b/src/lab/stubs/stub_worker.cpp
@@ -173,7 +173,8 @@
       hung_ = false;
       break;
     case FaultKind::worker_vanish:
-      // The connections of a machine that was unreachable are broken, so the stub closes them.
+      // After a real machine was unreachable, its old connections no longer work. The stub imitates this by
+      // closing its connections.
       server_.set_unresponsive(false);
       server_.disconnect_all();
       break;
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -72,8 +72,9 @@
   bool is_closed() const { return closed_; }
   // Whether the gateway has half-closed the connection.
   bool is_lingering() const { return table_position.is_lingering; }
-  // See the functions of the same name in TcpStream.
+  // Whether the system has neither bytes nor an end of stream to read.
   bool nothing_to_read() const { return stream_.nothing_to_read(); }
+  // Whether the next read would return the end of stream or an error.
   bool peer_has_disconnected() const { return stream_.peer_has_disconnected(); }
 
   ConnectionTable::Position table_position;  // position in its table; set by ConnectionTable
--- a/src/net/client_drain.cpp
+++ b/src/net/client_drain.cpp
@@ -10,8 +10,9 @@
 
 using namespace std::chrono_literals;
 
-// The load balancer in front of the gateways stops opening connections within 0.4 s after SIGTERM. Idle
-// connections are closed after this period.
+// The load balancer in front of the gateways stops opening connections within 0.4 s after SIGTERM. Before
+// kAcceptPeriod has passed since SIGTERM, the drain closes an idle connection only if the gateway has just
+// responded to a command on it.
 constexpr Duration kAcceptPeriod = 450ms;
 constexpr Duration kCheckInterval = 20ms;
 // After SIGTERM, the deployment platform waits for the longest client timeout (at most 3 s) plus 0.7 s before
--- a/src/net/endpoint_discovery.cpp
+++ b/src/net/endpoint_discovery.cpp
@@ -121,8 +121,9 @@
 
 void EndpointDiscovery::on_watch_heartbeat(DiscoveryWatch& watch) { on_watch_event(watch); }
 
-// Called for each object and each heartbeat of a watch. The first watch that receives one becomes or remains
-// the active watch, and the others are closed.
+// Called for each endpoint list and each heartbeat that a watch receives. A pending watch becomes the active
+// watch, and all others are closed. If the active watch receives it, the pending ones are closed, unless the
+// active watch still uses the previous address.
 void EndpointDiscovery::on_watch_event(DiscoveryWatch& watch) {
   if (&watch != active_watch_.get()) {
     activate(watch);
--- a/src/net/request_message.hpp
+++ b/src/net/request_message.hpp
@@ -9,7 +9,7 @@
 
 // The views point into the buffer that the request was parsed from.
 struct RequestMessage {
-  // The words of the command, in order.
+  // The words that the client sent, in this order. The body is optional.
   std::string_view command;
   std::string_view customer;
   std::string_view client_request_id;  // chosen by the client; unique among its open requests
--- a/src/policy/overload_controller.cpp
+++ b/src/policy/overload_controller.cpp
@@ -12,7 +12,7 @@
 // The greatest change of the admitted share by one attempt.
 constexpr double kMaxStep = 0.1;
 constexpr double kMinAdmittedShare = 1.0 / 64;
-// The weight of a new sample in the average of the queue ranks.
+// The weight of an arriving request's queue rank in the mean rank of recent requests.
 constexpr double kRankSmoothing = 0.02;
 
 }  // namespace
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -12,7 +12,7 @@
 struct AllowedActions {
   // Another attempt may be sent.
   bool send = true;
-  // The client may get a rejection, which promises that it may safely send the request again.
+  // The request may be rejected. A rejection promises that the client may safely send the request again.
   bool reject = true;
   // The next attempt must go to a worker that discards repeats of this attempt, which may have been executed.
   // Null if any worker may be used. Points into Request::attempts.
--- a/src/policy/timing_policy.cpp
+++ b/src/policy/timing_policy.cpp
@@ -50,10 +50,9 @@
 Duration TimingPolicy::time_since_first_sent(const IncomingRequest& incoming) const {
   if (!incoming.is_retry) return Duration(0);
   const Duration initial_time_left = route_statistics_[incoming.route].max_initial_time_left();
-  const bool ends_at_client_timeout =
-      std::chrono::abs(incoming.time_left - initial_time_left) > kTimeoutTolerance;
+  const bool uses_one_timeout = std::chrono::abs(incoming.time_left - initial_time_left) > kTimeoutTolerance;
   const Duration timeout = settings_.routes[incoming.route].client_timeout;
-  return std::max(Duration(0), timeout - incoming.time_left) / (ends_at_client_timeout ? 1 : 2);
+  return std::max(Duration(0), timeout - incoming.time_left) / (uses_one_timeout ? 1 : 2);
 }
 
 Duration TimingPolicy::attempt_timeout(const Request& request, double load, Duration now) const {
--- a/test/net/drain_deadline_test.cpp
+++ b/test/net/drain_deadline_test.cpp
@@ -54,7 +54,9 @@
 }
 
 TEST_CASE("a drain shortens deadlines so that responses are due 0.3 s before the kill") {
-  FrontendFixture fixture(25, 7500);  // the kill comes at least 3.7 s after SIGTERM
+  // A client timeout of 7.5 s counts as 3 s in a drain, so the kill comes 3.7 s after SIGTERM at the
+  // earliest.
+  FrontendFixture fixture(25, 7500);
   TestConnection client = fixture.connect();
   client.send(lookup_with_timeout("1", 7500));
   REQUIRE(fixture.run_until_requests(1));
--- a/test/net/support/deployment.cpp
+++ b/test/net/support/deployment.cpp
@@ -16,7 +16,7 @@
 Deployment::Deployment(std::size_t workers) : workers_(workers) {
   peer_socket_ = bind_udp(any_port(kGatewayHost));
   address_ = address_of(listen_tcp(any_port(kGatewayHost)));
-  // The system chooses the port among those that are free for UDP, which a free TCP port need not be.
+  // The gossip port is chosen separately, because a port that is free for TCP may be in use for UDP.
   gossip_reservation_ = bind_udp(any_port(kGatewayHost));
   gossip_address_ = address_of(gossip_reservation_);
   const std::string own_address = to_string(address_);
--- a/test/policy/quota_pool_test.cpp
+++ b/test/policy/quota_pool_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the shared pool on the counter: takes, returns of units, trimming to the burst, and the behaviour
-// of a gateway while the counter is slow, does not reply or is unavailable.
+// Tests of the shared pool on the counter: taking and returning units, removing what a pool holds over its
+// burst, and the behaviour of a gateway while the counter is slow, does not reply or is unavailable.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
